--- a/services/relay/attempt.go
+++ b/services/relay/attempt.go
@@ -24,15 +24,16 @@
 const (
 	// maxDials bounds the upstreams that one request tries to connect to.
 	maxDials = 3
-	// maxCrashes is the number of upstreams that may end under a request before it is not sent again: one is most often chance, as
-	// many others ran there; two hardly are.
+	// maxCrashes is the number of upstreams that may end while they run a request before it is no
+	// longer retried. One is most often chance, as many other requests ran there; two hardly are.
 	maxCrashes = 2
-	// unusedRest is how long a connection may rest that was opened for a request which was not sent.
-	unusedRest = time.Second
-	// maxStale bounds the answers to other requests that are skipped on one connection.
-	maxStale = 2
-	// maxAnswer bounds the body of an answer that is kept whole before it is passed on, in bytes.
-	maxAnswer = 16 << 20
+	// unusedIdleTimeout is how long a connection may stay idle that was opened for a request which
+	// was not sent.
+	unusedIdleTimeout = time.Second
+	// maxStaleAnswers bounds the answers to other requests that are skipped on one connection.
+	maxStaleAnswers = 2
+	// maxAnswerBytes bounds the body of an answer that is buffered before it is passed on.
+	maxAnswerBytes = 16 << 20
 )
 
 // answer is an upstream's answer whose head has been read.
@@ -42,19 +43,20 @@
 	resp     *http.Response
 	head     services.UpstreamAnswer
 	began    time.Time
-	// started says that the first event has come, at startedAt; the latest came at latestAt.
+	// started reports whether the first event has arrived, at startedAt; the latest arrived at
+	// latestAt.
 	started             bool
 	startedAt, latestAt time.Time
 	stop                func() bool
 }
 
-// run sends a request to upstreams until one answers or nothing more may be tried.
+// run sends a request to upstreams until one answers or no further attempt is allowed.
 func (x *exchange) run(ctx context.Context) {
 	defer x.r.endRun(x)
 	for dials := 0; ; {
 		x.r.endRun(x)
-		if no := x.r.barred(clock.Now(), x); no != nil {
-			x.giveUp(ctx, *no)
+		if ref := x.r.quarantineRefusal(clock.Now(), x); ref != nil {
+			x.fail(ctx, *ref)
 			return
 		}
 		began := clock.Now()
@@ -62,7 +64,7 @@
 		wait := clock.Since(began)
 		x.waited, x.waitedUnsent = x.waited+wait, x.waitedUnsent+wait
 		if !ok {
-			x.giveUp(ctx, x.busy())
+			x.fail(ctx, x.busy())
 			return
 		}
 		x.last = u.ID
@@ -81,41 +83,42 @@
 			x.r.release(x.service, u, res, clock.Since(began), false)
 			x.logAttempt(u, res, err)
 			if res == balance.ResultBroken {
-				x.r.lookAfter(ctx, x, u, sent, 0)
+				x.r.probeAfterBreak(ctx, x, u, sent, 0)
 			}
 		}
 		x.tried[u.ID] = true
 		if res == balance.ResultUnreached {
 			if dials++; dials >= maxDials {
-				x.giveUp(ctx, x.busy())
+				x.fail(ctx, x.busy())
 				return
 			}
 			continue
 		}
-		if !x.again(ctx) {
-			x.comeBack = x.r.afterNotRun(x)
-			no := x.busy()
-			no.reason = ReasonNotRun
-			x.giveUp(ctx, no)
+		if !x.allowAttempt(ctx) {
+			x.retryAfter = x.r.afterNotRun(x)
+			ref := x.busy()
+			ref.reason = ReasonNotRun
+			x.fail(ctx, ref)
 			return
 		}
 	}
 }
 
-// again reports whether the request may be sent once more, and takes that out of the budget.
-func (x *exchange) again(ctx context.Context) bool {
+// allowAttempt reports whether the request may be sent once more, and takes the retry out of the
+// budget.
+func (x *exchange) allowAttempt(ctx context.Context) bool {
 	if ctx.Err() != nil || x.attempts >= x.route.MaxAttempts || (x.mayRun && !x.route.Repeatable()) || x.crashes >= maxCrashes {
 		return false
 	}
-	if x.paidFor {
-		x.paidFor = false
+	if x.retryTaken {
+		x.retryTaken = false
 		return true
 	}
 	return x.r.mayRetry(x.service)
 }
 
-// giveUp answers a request that no upstream has answered, or else passes on what the first has said.
-func (x *exchange) giveUp(ctx context.Context, notRun refusal) {
+// fail answers a request that no upstream has answered, or passes on an earlier failure.
+func (x *exchange) fail(ctx context.Context, notRun refusal) {
 	switch {
 	case x.failure != nil && !x.stream.begun && x.req.Context().Err() == nil:
 		x.write(x.failure)
@@ -135,9 +138,9 @@
 }
 
 // attempt sends the request to one upstream and reads the head of its answer. After an error, the
-// result says what it tells of the upstream.
+// result tells the balancer what the error means for the upstream.
 func (x *exchange) attempt(ctx context.Context, u upstream.Instance) (*answer, balance.Result, error) {
-	x.r.reach(u)
+	x.r.updateRun(u)
 	conn, _, err := x.r.conns.Take(ctx, clock.Now(), u.Address)
 	if err != nil {
 		if ctx.Err() != nil {
@@ -145,36 +148,38 @@
 		}
 		return nil, balance.ResultUnreached, fmt.Errorf("connect to upstream %s: %w", u.ID, err)
 	}
-	if res, err := x.clear(ctx, u); err != nil {
-		x.r.conns.Give(clock.Now(), conn, unusedRest)
+	if res, err := x.authorize(ctx, u); err != nil {
+		x.r.conns.Give(clock.Now(), conn, unusedIdleTimeout)
 		return nil, res, err
 	}
 	a := &answer{upstream: u, conn: conn, began: clock.Now()}
-	// The end of the caller or of the time ends the upstream's work too.
+	// When the caller disconnects or the deadline passes, the closed connection ends the upstream's
+	// work too.
 	a.stop = context.AfterFunc(ctx, conn.Close)
 	x.attempts++
 	wasRunning := x.mayRun
 	x.mayRun = true
 	sent := conn.Send(x.outgoing(u))
-	// The upstream may have answered before it has read everything, so the answer counts in any case.
+	// The upstream may have answered before it has read the whole request, so the answer is read
+	// even after a send error.
 	if err := x.receive(a); err != nil {
 		a.drop()
-		return nil, x.brokenOr(ctx), errors.Join(sent, err)
+		return nil, x.brokenResult(ctx), errors.Join(sent, err)
 	}
-	x.noteNotice(clock.Now(), a)
-	x.r.noteAnswer(clock.Now(), a)
+	x.recordNotice(clock.Now(), a)
+	x.r.recordAnswer(clock.Now(), a)
 	x.mayRun = wasRunning || a.head.Execution == services.ExecutionDone || a.head.Execution == services.ExecutionFailed
 	return a, balance.ResultOK, nil
 }
 
-func (x *exchange) brokenOr(ctx context.Context) balance.Result {
+func (x *exchange) brokenResult(ctx context.Context) balance.Result {
 	if ctx.Err() != nil {
 		return balance.ResultCancelled
 	}
 	return balance.ResultBroken
 }
 
-// outgoing makes the request for an upstream.
+// outgoing builds the request for an upstream.
 func (x *exchange) outgoing(u upstream.Instance) *httpconn.Request {
 	last := x.meta.LastEvent
 	if x.stream.lastEvent != "" {
@@ -188,9 +193,10 @@
 	}
 }
 
-// receive reads the head of the answer to this request. Answers to others that come first are dropped.
+// receive reads the head of the answer to this request. Answers to other requests that arrive first
+// are dropped.
 func (x *exchange) receive(a *answer) error {
-	for range maxStale + 1 {
+	for range maxStaleAnswers + 1 {
 		resp, err := a.conn.Receive(x.req.Method) //nolint:bodyclose // the connection owns the body
 		if err != nil {
 			return fmt.Errorf("upstream %s: %w", a.upstream.ID, err)
@@ -200,7 +206,7 @@
 		if a.head.ID == x.meta.ID || (a.head.ID == "" && a.head.Execution != services.ExecutionDone) {
 			return nil
 		}
-		if err := httpconn.Drain(resp, maxAnswer); err != nil {
+		if err := httpconn.Drain(resp, maxAnswerBytes); err != nil {
 			return fmt.Errorf("upstream %s: answer to request %q: %w", a.upstream.ID, a.head.ID, err)
 		}
 	}
@@ -213,8 +219,8 @@
 	a.conn.Close()
 }
 
-// keep lets the connection rest, if it may.
-func (a *answer) keep(p *httpconn.Pool) {
+// reuseConn returns the connection to the pool if it may be reused, and else closes it.
+func (a *answer) reuseConn(p *httpconn.Pool) {
 	rest, ok := httpconn.Reusable(a.resp)
 	if !ok || !a.stop() {
 		a.drop()
@@ -231,7 +237,7 @@
 		if a.head.Execution == services.ExecutionStranger {
 			res = balance.ResultStranger
 		}
-		x.settle(a, res, fmt.Errorf("upstream %s: status %d, not run", a.upstream.ID, a.resp.StatusCode))
+		x.discard(a, res, fmt.Errorf("upstream %s: status %d, not run", a.upstream.ID, a.resp.StatusCode))
 		return false
 	case services.ExecutionFailed:
 		return x.deliverFailure(ctx, a)
@@ -240,37 +246,40 @@
 	if x.route.Kind == catalog.KindStream && a.resp.StatusCode == http.StatusOK {
 		return x.relayStream(ctx, a)
 	}
-	return x.deliverWhole(ctx, a)
+	return x.deliverComplete(ctx, a)
 }
 
-// settle ends an attempt whose answer is not passed on. A connection on which a refusal came that names no
-// request is not used again: if the refusal came twice, the second would be taken for the next request's.
-func (x *exchange) settle(a *answer, res balance.Result, err error) {
-	if derr := httpconn.Drain(a.resp, maxAnswer); derr != nil || a.head.ID == "" {
+// discard ends an attempt whose answer is not passed on. A connection on which a refusal arrived
+// that names no request is not reused: if the refusal was sent twice, the second would be taken for
+// the answer to the next request.
+func (x *exchange) discard(a *answer, res balance.Result, err error) {
+	if derr := httpconn.Drain(a.resp, maxAnswerBytes); derr != nil || a.head.ID == "" {
 		a.drop()
 	} else {
-		a.keep(x.r.conns)
+		a.reuseConn(x.r.conns)
 	}
 	x.r.release(x.service, a.upstream, res, clock.Since(a.began), a.started)
 	x.logAttempt(a.upstream, res, err)
 }
 
-// deliverFailure tries another upstream after a failure, or else passes the failure on.
+// deliverFailure retries the request elsewhere after a failure if that is allowed, or else passes
+// the failure on.
 func (x *exchange) deliverFailure(ctx context.Context, a *answer) bool {
 	if x.stream.begun {
-		x.settle(a, balance.ResultError, fmt.Errorf("upstream %s: status %d", a.upstream.ID, a.resp.StatusCode))
+		x.discard(a, balance.ResultError, fmt.Errorf("upstream %s: status %d", a.upstream.ID, a.resp.StatusCode))
 		return false
 	}
 	if x.route.Repeatable() && x.attempts < x.route.MaxAttempts && ctx.Err() == nil && x.r.mayRetry(x.service) {
-		x.paidFor = true
-		return x.keepFailure(ctx, a)
+		x.retryTaken = true
+		return x.saveFailure(ctx, a)
 	}
-	return x.deliverWhole(ctx, a)
+	return x.deliverComplete(ctx, a)
 }
 
-// keepFailure keeps a failure, to be passed on if no other upstream answers. It returns false: another is tried.
-func (x *exchange) keepFailure(ctx context.Context, a *answer) bool {
-	failure, ok := x.readWhole(ctx, a, balance.ResultError)
+// saveFailure saves a failure, to be passed on if no other upstream answers. It always returns
+// false, so that another upstream is tried.
+func (x *exchange) saveFailure(ctx context.Context, a *answer) bool {
+	failure, ok := x.readComplete(ctx, a, balance.ResultError)
 	if !ok {
 		return false
 	}
@@ -279,44 +288,44 @@
 	return false
 }
 
-// wholeAnswer is an answer that was read to its end.
-type wholeAnswer struct {
+// completeAnswer is an answer that was read to its end.
+type completeAnswer struct {
 	upstream upstream.ID
 	status   int
 	header   http.Header
 	body     []byte
 }
 
-// deliverWhole passes an answer on once it is there to its end.
-func (x *exchange) deliverWhole(ctx context.Context, a *answer) bool {
+// deliverComplete passes an answer on after it has been read to its end.
+func (x *exchange) deliverComplete(ctx context.Context, a *answer) bool {
 	res := balance.ResultOK
 	if a.resp.StatusCode >= http.StatusInternalServerError {
 		res = balance.ResultError
 	}
-	got, ok := x.readWhole(ctx, a, res)
+	got, ok := x.readComplete(ctx, a, res)
 	if ok {
 		x.write(got)
 	}
 	return ok
 }
 
-// readWhole reads an answer to its end and notes the end of the attempt: with a result, or as broken if
-// the answer breaks off.
-func (x *exchange) readWhole(ctx context.Context, a *answer, res balance.Result) (*wholeAnswer, bool) {
-	body, err := httpx.ReadAll(a.resp.Body, maxAnswer)
+// readComplete reads an answer to its end and records the end of the attempt: with the given
+// result, or as broken if the answer is truncated.
+func (x *exchange) readComplete(ctx context.Context, a *answer, res balance.Result) (*completeAnswer, bool) {
+	body, err := httpx.ReadAll(a.resp.Body, maxAnswerBytes)
 	if err != nil {
 		a.drop()
-		x.brokeOff(ctx, a, err)
+		x.recordBreak(ctx, a, err)
 		return nil, false
 	}
-	x.r.noteRun(clock.Now(), x.key(), quarantine.Finished)
-	a.keep(x.r.conns)
+	x.r.recordRun(clock.Now(), x.key(), quarantine.Finished)
+	a.reuseConn(x.r.conns)
 	x.r.release(x.service, a.upstream, res, clock.Since(a.began), a.started)
-	return &wholeAnswer{upstream: a.upstream.ID, status: a.resp.StatusCode, header: x.r.opts.Protocol.Returned(a.resp.Header), body: body}, true
+	return &completeAnswer{upstream: a.upstream.ID, status: a.resp.StatusCode, header: x.r.opts.Protocol.Returned(a.resp.Header), body: body}, true
 }
 
-// write passes a whole answer on.
-func (x *exchange) write(got *wholeAnswer) {
+// write sends a complete answer to the caller.
+func (x *exchange) write(got *completeAnswer) {
 	x.last = got.upstream
 	x.setHead(got.header)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(got.body)))
@@ -328,7 +337,7 @@
 	x.finish(got.status, ReasonAnswered)
 }
 
-// setHead sets the header of an upstream's answer for the caller.
+// setHead copies the header of an upstream's answer to the answer for the caller.
 func (x *exchange) setHead(header http.Header) {
 	h := x.w.Header()
 	for name, values := range header {
--- a/services/relay/bench_test.go
+++ b/services/relay/bench_test.go
@@ -21,11 +21,11 @@
 	"fawnwinch.org/fawnwinch/services/knowledge"
 )
 
-// benchRanks is the number of ranks of a service on the benchmarks, in three groups.
+// benchRanks is the number of ranks in the benchmarks, in three groups of one service.
 const benchRanks = 72
 
-// ranked returns a relay before ranks of three groups whose load was just told.
-func ranked(b *testing.B) *Relay {
+// newRankedRelay returns a relay with one service whose ranks belong to three groups.
+func newRankedRelay(b *testing.B) *Relay {
 	b.Helper()
 	r := newRelay()
 	b.Cleanup(r.Close)
@@ -44,7 +44,7 @@
 	return r
 }
 
-// report tells a relay the load of its groups.
+// report sends the load of the groups to a relay.
 func report(r *Relay, now time.Time) {
 	const groups = 3
 	for g := range groups {
@@ -58,20 +58,20 @@
 	}
 }
 
-// BenchmarkGrant measures what a router decides for one request before 72 ranks whose load is told: which rank gets it, and the
-// end of its attempt.
+// BenchmarkGrant measures the decisions of a router for one request with 72 ranks whose load is
+// reported: the choice of the rank, and the end of the attempt.
 func BenchmarkGrant(b *testing.B) {
-	r := ranked(b)
+	r := newRankedRelay(b)
 	report(r, time.Now())
 	route := &catalog.Route{Name: "stream", Kind: catalog.KindStream, Goal: 500 * time.Millisecond, PauseGoal: 150 * time.Millisecond}
 	b.ReportAllocs()
-	told := time.Now()
+	reported := time.Now()
 	for b.Loop() {
 		now := time.Now()
-		if now.Sub(told) > 70*time.Millisecond {
+		if now.Sub(reported) > 70*time.Millisecond {
 			b.StopTimer()
 			report(r, now)
-			told = now
+			reported = now
 			b.StartTimer()
 		}
 		x := &exchange{r: r, route: route, service: "s", arrived: now, deadline: now.Add(8 * time.Second)}
@@ -81,22 +81,23 @@
 		}
 		r.release("s", u, balance.ResultOK, time.Second, false)
 		r.mu.Lock()
-		r.pools["s"].queue = admission.NewQueue(r.pools["s"].pool) // its counts of the last second would grow without bound
+		r.pools["s"].queue = admission.NewQueue(r.pools["s"].pool) // its counters for the last second would grow without bound
 		r.mu.Unlock()
 	}
 }
 
-// BenchmarkReport measures what a router does with the loads of three groups of 24.
+// BenchmarkReport measures how a router applies the loads of three groups of 24 ranks.
 func BenchmarkReport(b *testing.B) {
-	r := ranked(b)
+	r := newRankedRelay(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		report(r, time.Now())
 	}
 }
 
-// BenchmarkRelay measures a request of a plain service through a router, from the caller's byte to the upstream and back, on kept
-// connections over loopback; own-us is the time from the head of the request to its first byte at the upstream.
+// BenchmarkRelay measures a request of a plain service from the caller through a router to the
+// upstream and back, on persistent connections over loopback. own-us is the time from the head of
+// the request to its first byte at the upstream.
 func BenchmarkRelay(b *testing.B) {
 	arrived := make(chan time.Time, 1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/services/relay/clearance.go
+++ b/services/relay/clearance.go
@@ -16,74 +16,78 @@
 	"fawnwinch.org/fawnwinch/services/quota"
 )
 
-// errBarred reports a request that has turned out to crash upstreams while it waited.
-var errBarred = errors.New("request crashes upstreams")
+// errQuarantined reports a request that was found to crash upstreams while it waited.
+var errQuarantined = errors.New("request crashes upstreams")
 
-// ErrClosed reports an upstream that takes no request now.
-type ErrClosed struct {
+// ErrUnavailable reports an upstream that does not accept requests at present.
+type ErrUnavailable struct {
 	Upstream  upstream.ID
 	Condition condition.Kind
 }
 
-func (e ErrClosed) Error() string { return fmt.Sprintf("upstream %s is %s", e.Upstream, e.Condition) }
+func (e ErrUnavailable) Error() string {
+	return fmt.Sprintf("upstream %s is %s", e.Upstream, e.Condition)
+}
 
-// alone gives the permits of a router that knows no others.
-type alone struct{ ledger *quota.Ledger }
+// localPermits grants the permits of a router that has no record of other routers.
+type localPermits struct{ ledger *quota.Ledger }
 
 // Ask implements services.Permits.
-func (a alone) Ask(_ context.Context, now time.Time, ask condition.Ask) (condition.Reply, error) {
+func (a localPermits) Ask(_ context.Context, now time.Time, ask condition.Ask) (condition.Reply, error) {
 	return a.ledger.Give(now, ask), nil
 }
 
-// clear decides right before a request is sent whether it may be. What was known when the upstream was chosen may have changed while the request
-// waited or a connection was opened.
-func (x *exchange) clear(ctx context.Context, u upstream.Instance) (balance.Result, error) {
+// authorize decides right before a request is sent whether it may be sent. The state that was used
+// to choose the upstream may have changed while the request waited or a connection was opened.
+func (x *exchange) authorize(ctx context.Context, u upstream.Instance) (balance.Result, error) {
 	permission, err := x.r.judgeSend(clock.Now(), x, u)
 	if err != nil || permission == condition.PermissionGiven {
 		return resultOf(err), err
 	}
 	if x.r.askPermit(ctx, x, u) != condition.PermissionGiven {
 		x.r.endRun(x)
-		return balance.ResultUnsent, ErrClosed{Upstream: u.ID, Condition: condition.KindLimited}
+		return balance.ResultUnsent, ErrUnavailable{Upstream: u.ID, Condition: condition.KindLimited}
 	}
 	return balance.ResultOK, nil
 }
 
-// resultOf returns what it tells of an upstream that a request is not sent to it.
+// resultOf returns the result of an attempt that was not sent.
 func resultOf(err error) balance.Result {
-	var closed ErrClosed
-	if errors.As(err, &closed) && closed.Condition == condition.KindLeaving {
+	var unavailable ErrUnavailable
+	if errors.As(err, &unavailable) && unavailable.Condition == condition.KindLeaving {
 		return balance.ResultUnreached
 	}
 	return balance.ResultUnsent
 }
 
-// judgeSend tells whether a request may be sent to an upstream. It counts the request as one that runs if so.
+// judgeSend decides whether a request may be sent to an upstream. If so, it counts the request as
+// running.
 func (r *Relay) judgeSend(now time.Time, x *exchange, u upstream.Instance) (condition.Permission, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case !r.know.Takes(now, u.ID):
-		return condition.PermissionDenied, ErrClosed{Upstream: u.ID, Condition: condition.KindLeaving}
+	case !r.state.Takes(now, u.ID):
+		return condition.PermissionDenied, ErrUnavailable{Upstream: u.ID, Condition: condition.KindLeaving}
 	case r.judgeCrashes(now, x) != nil:
-		return condition.PermissionDenied, errBarred
+		return condition.PermissionDenied, errQuarantined
 	}
-	conditions := r.lane(now, x.service).pool.Conditions()
+	conditions := r.serviceState(now, x.service).pool.Conditions()
 	permission := conditions.Permit(now, u.Run())
 	if permission == condition.PermissionDenied {
 		kind, _ := conditions.Judge(now, u.Run())
-		return permission, ErrClosed{Upstream: u.ID, Condition: kind}
+		return permission, ErrUnavailable{Upstream: u.ID, Condition: kind}
 	}
 	r.running[x.key()]++
 	x.running = true
 	return permission, nil
 }
 
-// askPermit asks for permits to send to an upstream that limits its requests, on behalf of a request that takes one of them.
+// askPermit requests permits for an upstream that limits its requests. One of them is for the given
+// request.
 func (r *Relay) askPermit(ctx context.Context, x *exchange, u upstream.Instance) condition.Permission {
 	asked := clock.Now()
 	r.mu.Lock()
-	conditions := r.lane(asked, x.service).pool.Conditions()
+	conditions := r.serviceState(asked, x.service).pool.Conditions()
 	ask := conditions.Ask(asked, u.Run())
 	permits := r.permits
 	r.mu.Unlock()
@@ -93,17 +97,17 @@
 	}
 	now := clock.Now()
 	r.mu.Lock()
-	permission, news := conditions.Answered(asked, now, u.Run(), reply)
+	permission, changes := conditions.Answered(asked, now, u.Run(), reply)
 	r.mu.Unlock()
 	r.logPermit(x, u, ask, reply, now.Sub(asked), err)
-	r.logTold(x.service, u.Run(), reply.Limit, news)
+	r.logLearned(x.service, u.Run(), reply.Limit, changes)
 	return permission
 }
 
-// logPermit logs that a request was not permitted, or that nobody could be asked.
+// logPermit logs that a request was not permitted, or that the permit grantor could not be reached.
 func (r *Relay) logPermit(x *exchange, u upstream.Instance, ask condition.Ask, reply condition.Reply, took time.Duration, err error) {
 	if reply.Given > 0 {
-		return // the line of the request tells the upstream
+		return // the log line of the request names the upstream
 	}
 	event := r.opts.Logger.Info()
 	if err != nil {
@@ -113,11 +117,12 @@
 		Int("wanted", ask.Wanted).Int64("again_ms", reply.Again.Milliseconds()).Int64("took_ms", took.Milliseconds()).Msg("permit-denied")
 }
 
-// tellEnded tells whoever gives permits for an upstream that its limit has ended, so that the others learn it when they ask.
-func (r *Relay) tellEnded(u upstream.Instance, x *exchange) {
+// notifyLimitEnded notifies the permit grantor of an upstream that its limit has ended. Other
+// routers learn it when they ask for permits.
+func (r *Relay) notifyLimitEnded(u upstream.Instance, x *exchange) {
 	now := clock.Now()
 	r.mu.Lock()
-	ask := condition.Ask{Run: u.Run(), Limit: r.lane(now, x.service).pool.Conditions().Limit(u.Run()).Told(now)}
+	ask := condition.Ask{Run: u.Run(), Limit: r.serviceState(now, x.service).pool.Conditions().Limit(u.Run()).Told(now)}
 	permits := r.permits
 	r.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), condition.AskTime)
--- a/services/relay/crashes.go
+++ b/services/relay/crashes.go
@@ -19,64 +19,66 @@
 )
 
 const (
-	// lookTime bounds a look at an upstream whose connection broke off. A VM that is gone says nothing, and then nothing is known.
-	lookTime = 200 * time.Millisecond
-	// lookValid is how long an upstream that was found alive is not looked at again: when one rank ends, the connections of all others
-	// of its group break off together.
-	lookValid = 100 * time.Millisecond
-	// looksKept is how long a look is kept for what it has found out of the requests that ran there.
-	looksKept = 10 * time.Second
-	// maxDoubtful bounds the requests of one look.
-	maxDoubtful = 64
+	// probeTimeout bounds a probe of an upstream whose connection broke. A VM that is gone does not
+	// answer, and then the state of the upstream is unknown.
+	probeTimeout = 200 * time.Millisecond
+	// probeValidity is how long an upstream that was found alive is not probed again: when one rank
+	// ends, the connections to all other ranks of its group break at the same time.
+	probeValidity = 100 * time.Millisecond
+	// probeRetention is how long a probe is kept for its list of suspect requests.
+	probeRetention = 10 * time.Second
+	// maxSuspects bounds the suspect requests of one probe.
+	maxSuspects = 64
 )
 
-// look is a look at an upstream whose connection broke off.
-type look struct {
+// probe checks whether an upstream whose connection broke still accepts connections.
+type probe struct {
 	done chan struct{}
-	// at is when it ended; err is nil if the upstream takes connections.
+	// at is when the probe ended; err is nil if the upstream accepts connections.
 	at  time.Time
 	err error
-	// doubtful holds the requests that ran when connections broke off, until the same run is known to have lived on: something else
-	// may have taken its place at once.
-	doubtful []doubtful
+	// suspects holds the requests that ran when connections broke, until the same run of the
+	// upstream is confirmed to have survived: another process may have taken over its address at
+	// once.
+	suspects []suspect
 }
 
-// doubtful is a request whose answer had been coming for some time when its connection broke off.
-type doubtful struct {
+// suspect is a request whose answer had been arriving for some time when its connection broke.
+type suspect struct {
 	key    quarantine.Key
 	lasted time.Duration
 }
 
-// ended reports whether the upstream has ended: nobody listens at its address.
-func (l *look) ended() bool { return errors.Is(l.err, syscall.ECONNREFUSED) }
+// ended reports whether the upstream has ended: no process listens at its address.
+func (p *probe) ended() bool { return errors.Is(p.err, syscall.ECONNREFUSED) }
 
-func (l *look) old(now time.Time) bool { return !l.at.IsZero() && now.Sub(l.at) > looksKept }
+func (p *probe) expired(now time.Time) bool { return !p.at.IsZero() && now.Sub(p.at) > probeRetention }
 
-// key returns what the request asks, whatever its id.
+// key identifies the content of the request, whatever its id.
 func (x *exchange) key() quarantine.Key { return quarantine.Key{Account: x.account, Digest: x.digest} }
 
-// barred returns the refusal for a request that must not be sent now, or nil.
-func (r *Relay) barred(now time.Time, x *exchange) *refusal {
+// quarantineRefusal returns the refusal for a request that must not be sent now, or nil.
+func (r *Relay) quarantineRefusal(now time.Time, x *exchange) *refusal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.judgeCrashes(now, x)
 }
 
-// judgeCrashes is barred for a caller that holds the lock.
+// judgeCrashes is quarantineRefusal for a caller that holds the lock.
 func (r *Relay) judgeCrashes(now time.Time, x *exchange) *refusal {
 	v := r.crashes.Judge(now, x.key())
 	switch {
 	case v.Standing == quarantine.StandingRefused:
-		return &refusal{status: http.StatusServiceUnavailable, reason: ReasonCrashes, after: v.Until.Sub(now)}
+		return &refusal{status: http.StatusServiceUnavailable, reason: ReasonCrashes, retryAfter: v.Until.Sub(now)}
 	case v.Standing == quarantine.StandingWatched && (x.crashes > 0 || r.running[x.key()] > 0):
-		no := x.busy()
-		no.reason = ReasonWatched
-		return &no
+		ref := x.busy()
+		ref.reason = ReasonWatched
+		return &ref
 	}
 	return nil
 }
 
-// endRun notes that a request does not run any more.
+// endRun records that a request no longer runs.
 func (r *Relay) endRun(x *exchange) {
 	if !x.running {
 		return
@@ -89,8 +91,9 @@
 	}
 }
 
-// noteRun notes for how long the answer to a request has been coming from an upstream that lived on.
-func (r *Relay) noteRun(now time.Time, k quarantine.Key, lasted time.Duration) {
+// recordRun records for how long the answer to a request has been arriving from an upstream that
+// survived.
+func (r *Relay) recordRun(now time.Time, k quarantine.Key, lasted time.Duration) {
 	r.mu.Lock()
 	cleared := r.crashes.Ran(now, k, lasted)
 	r.mu.Unlock()
@@ -100,57 +103,59 @@
 	}
 }
 
-// noteAnswer notes that a run of an upstream answers: what it ran when its connections broke off has not ended it.
-func (r *Relay) noteAnswer(now time.Time, a *answer) {
+// recordAnswer records that a run of an upstream answers: the requests that it ran when its
+// connections broke did not end it.
+func (r *Relay) recordAnswer(now time.Time, a *answer) {
 	if a.head.Execution == services.ExecutionStranger {
 		return
 	}
-	for _, d := range r.takeDoubtful(a.upstream.Run()) {
-		r.noteRun(now, d.key, d.lasted)
+	for _, d := range r.takeSuspects(a.upstream.Run()) {
+		r.recordRun(now, d.key, d.lasted)
 	}
 }
 
-// takeDoubtful returns the requests that ran at an upstream when connections broke off, once.
-func (r *Relay) takeDoubtful(u upstream.Run) []doubtful {
+// takeSuspects returns and removes the requests that ran at an upstream when connections broke.
+func (r *Relay) takeSuspects(u upstream.Run) []suspect {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l, ok := r.looks[u]
+	p, ok := r.probes[u]
 	if !ok {
 		return nil
 	}
-	taken := l.doubtful
-	l.doubtful = nil
+	taken := p.suspects
+	p.suspects = nil
 	return taken
 }
 
-// lookAfter finds out whether an upstream has ended in the middle of a request, and notes what that says of the request. Sent is
-// when it was sent, and lasted how long its answer had been coming. A reset alone says nothing: links and proxies reset connections,
-// and so do upstreams that live.
-func (r *Relay) lookAfter(ctx context.Context, x *exchange, u upstream.Instance, sent time.Time, lasted time.Duration) {
-	broke := clock.Now()
-	l := r.lookAt(ctx, u)
-	if l.ended() {
-		r.noteCrash(broke, x, u, quarantine.Crash{Key: x.key(), Run: u.Run(), Ran: broke.Sub(sent), Lasted: lasted})
+// probeAfterBreak finds out whether an upstream ended while it ran a request, and records what
+// follows for the request. Sent is when the request was sent, and lasted how long its answer had
+// been arriving. A reset alone proves nothing: links and proxies reset connections, and so do
+// upstreams that keep running.
+func (r *Relay) probeAfterBreak(ctx context.Context, x *exchange, u upstream.Instance, sent time.Time, lasted time.Duration) {
+	brokenAt := clock.Now()
+	p := r.probeUpstream(ctx, u)
+	if p.ended() {
+		r.recordCrash(brokenAt, x, u, quarantine.Crash{Key: x.key(), Run: u.Run(), Ran: brokenAt.Sub(sent), Lasted: lasted})
 		return
 	}
-	if l.err != nil || lasted <= 0 {
+	if p.err != nil || lasted <= 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// Another look may have taken the place of the one that was waited for.
-	if kept, ok := r.looks[u.Run()]; ok && len(kept.doubtful) < maxDoubtful {
-		kept.doubtful = append(kept.doubtful, doubtful{key: x.key(), lasted: lasted})
+	// Another probe may have replaced the one that was waited for.
+	if kept, ok := r.probes[u.Run()]; ok && len(kept.suspects) < maxSuspects {
+		kept.suspects = append(kept.suspects, suspect{key: x.key(), lasted: lasted})
 	}
 }
 
-// noteCrash notes that an upstream has ended in the middle of a request.
-func (r *Relay) noteCrash(now time.Time, x *exchange, u upstream.Instance, c quarantine.Crash) {
+// recordCrash records that an upstream ended while it ran a request.
+func (r *Relay) recordCrash(now time.Time, x *exchange, u upstream.Instance, c quarantine.Crash) {
 	r.mu.Lock()
-	kind, _ := r.lane(now, x.service).pool.Conditions().Judge(now, u.Run())
-	if kind == condition.KindLeaving || !r.know.Listed(u.ID) {
+	kind, _ := r.serviceState(now, x.service).pool.Conditions().Judge(now, u.Run())
+	if kind == condition.KindLeaving || !r.state.Listed(u.ID) {
 		r.mu.Unlock()
-		return // it leaves, and ends when it was told to
+		return // it is leaving, and ends as ordered
 	}
 	x.crashes++
 	added := r.crashes.Add(now, c)
@@ -163,45 +168,46 @@
 	}
 }
 
-// lookAt looks whether an upstream takes connections; requests whose connections broke off together share a look.
-func (r *Relay) lookAt(ctx context.Context, u upstream.Instance) *look {
+// probeUpstream checks whether an upstream accepts connections. Requests whose connections broke
+// together share a probe.
+func (r *Relay) probeUpstream(ctx context.Context, u upstream.Instance) *probe {
 	now := clock.Now()
 	r.mu.Lock()
-	l, ok := r.looks[u.Run()]
-	if ok && (l.at.IsZero() || l.ended() || now.Sub(l.at) < lookValid) {
+	p, ok := r.probes[u.Run()]
+	if ok && (p.at.IsZero() || p.ended() || now.Sub(p.at) < probeValidity) {
 		r.mu.Unlock()
-		<-l.done
-		return l
+		<-p.done
+		return p
 	}
-	next := &look{done: make(chan struct{})}
+	next := &probe{done: make(chan struct{})}
 	if ok {
-		// What ran at the last break may still be found to have lived on.
-		next.doubtful = l.doubtful
+		// The requests that ran at the last break may still be cleared.
+		next.suspects = p.suspects
 	}
-	l = next
-	r.looks[u.Run()] = l
+	p = next
+	r.probes[u.Run()] = p
 	r.mu.Unlock()
-	cctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lookTime)
+	cctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
 	err := r.conns.Reach(cctx, now, u.Address)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l.err, l.at = err, clock.Now()
-	close(l.done)
-	return l
+	p.err, p.at = err, clock.Now()
+	close(p.done)
+	return p
 }
 
-// brokeOff notes that an answer broke off.
-func (x *exchange) brokeOff(ctx context.Context, a *answer, err error) {
-	res := x.brokenOr(ctx)
+// recordBreak records that an answer was truncated.
+func (x *exchange) recordBreak(ctx context.Context, a *answer, err error) {
+	res := x.brokenResult(ctx)
 	x.r.release(x.service, a.upstream, res, clock.Since(a.began), a.started)
 	x.logAttempt(a.upstream, res, err)
 	if res == balance.ResultBroken {
-		x.r.lookAfter(ctx, x, a.upstream, a.began, a.lasted(clock.Now()))
+		x.r.probeAfterBreak(ctx, x, a.upstream, a.began, a.lasted(clock.Now()))
 	}
 }
 
-// lasted returns how long the events of an answer have been coming at a time; 0 before the first.
+// lasted returns how long the events of an answer had been arriving at now; 0 before the first.
 func (a *answer) lasted(now time.Time) time.Duration {
 	if !a.started {
 		return 0
@@ -209,14 +215,14 @@
 	return now.Sub(a.startedAt)
 }
 
-// OnCrash has a function called when more is known of the requests under which upstreams have ended.
+// OnCrash sets the function that is called when the crash register has changed.
 func (r *Relay) OnCrash(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.onCrash = f
 }
 
-// Crashes calls f with the register of requests under which upstreams have ended, under the relay's lock.
+// Crashes calls f with the register of crashes under the relay's lock.
 func (r *Relay) Crashes(f func(*quarantine.Register)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/services/relay/crashes_test.go
+++ b/services/relay/crashes_test.go
@@ -19,39 +19,43 @@
 	"fawnwinch.org/fawnwinch/services/quarantine"
 )
 
-// askedKey is what get asks for.
+// askedKey returns the key of the request that get sends.
 func askedKey(path string) quarantine.Key {
 	return quarantine.Key{Account: "seiryu", Digest: request.NewDigest(nil, http.MethodGet, "h", path, "")}
 }
 
-// crashes returns the ends that a relay knows.
+// crashes returns the crashes in a relay's register.
 func crashes(r *Relay) []quarantine.Crash {
 	var out []quarantine.Crash
 	r.Crashes(func(g *quarantine.Register) { out = g.Since(time.Now(), peer.Mark{}) })
 	return out
 }
 
-// TestBrokenConnections checks which connections that break off count as the end of an upstream.
+// TestBrokenConnections checks which broken connections count as the end of an upstream.
 func TestBrokenConnections(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nId: r1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	event := "id: 1\ndata: x\n\n"
 	cases := map[string]struct {
 		path   string
-		script func(f *mortal, c net.Conn)
+		script func(f *stoppableUpstream, c net.Conn)
 		want   int
 	}{
-		"the upstream ends":                   {"/unsafe/x", func(f *mortal, c net.Conn) { f.end(); reset(c) }, 1},
-		"it ends in the middle of a stream":   {"/stream/x", func(f *mortal, c net.Conn) { say(c, "%s%x\r\n%s\r\n", head, len(event), event); f.end(); reset(c) }, 1},
-		"it lives, and the connection breaks": {"/unsafe/x", func(_ *mortal, c net.Conn) { reset(c) }, 0},
-		"it ends because it leaves":           {"/unsafe/x", func(f *mortal, c net.Conn) { f.leave(); f.end(); reset(c) }, 0},
-		"it has said itself that it leaves":   {"/unsafe/x", func(f *mortal, c net.Conn) { f.says(); f.end(); reset(c) }, 0},
+		"the upstream ends": {"/unsafe/x", func(f *stoppableUpstream, c net.Conn) { f.end(); reset(c) }, 1},
+		"it ends in the middle of a stream": {"/stream/x", func(f *stoppableUpstream, c net.Conn) {
+			writef(c, "%s%x\r\n%s\r\n", head, len(event), event)
+			f.end()
+			reset(c)
+		}, 1},
+		"it lives, and the connection breaks": {"/unsafe/x", func(_ *stoppableUpstream, c net.Conn) { reset(c) }, 0},
+		"it ends because it leaves":           {"/unsafe/x", func(f *stoppableUpstream, c net.Conn) { f.listLeaving(); f.end(); reset(c) }, 0},
+		"it has said itself that it leaves":   {"/unsafe/x", func(f *stoppableUpstream, c net.Conn) { f.announceLeaving(); f.end(); reset(c) }, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newMortal(t, c.script)
+			f := newStoppableUpstream(t, c.script)
 			s, r := start(t, &fake{address: f.address})
-			f.leave = func() { listUpstream(r, f.address, upstream.StateLeaving) }
-			f.says = func() { noteNotice(r, upstream.Run{ID: "u0"}, upstream.Notice{Leaving: true}) }
+			f.listLeaving = func() { listUpstream(r, f.address, upstream.StateLeaving) }
+			f.announceLeaving = func() { recordNotice(r, upstream.Run{ID: "u0"}, upstream.Notice{Leaving: true}) }
 			_, _, _, _ = get(t.Context(), t, s, c.path, nil)
 			if got := crashes(r); len(got) != c.want {
 				t.Errorf("%d ends, want %d", len(got), c.want)
@@ -60,7 +64,7 @@
 	}
 }
 
-// listUpstream tells a relay of the upstream that start lists first.
+// listUpstream changes the state of the first upstream that start lists.
 func listUpstream(r *Relay, address string, state upstream.State) {
 	r.Know(func(k *knowledge.State) {
 		u := upstream.Instance{ID: "u0", Service: "s", Address: address, Slots: 4, State: state}
@@ -70,29 +74,30 @@
 	})
 }
 
-// mortal is an upstream that can end.
-type mortal struct {
+// stoppableUpstream is an upstream whose listener can be closed.
+type stoppableUpstream struct {
 	address string
 	listen  net.Listener
-	// leave has the store list the upstream as one that leaves, and says has it say so itself.
-	leave, says func()
+	// listLeaving lists the upstream in the store as leaving; announceLeaving has the upstream
+	// announce it in a notice.
+	listLeaving, announceLeaving func()
 }
 
-// noteNotice has a relay hear what an upstream of the tests' service says of itself.
-func noteNotice(r *Relay, run upstream.Run, n upstream.Notice) {
+// recordNotice records a notice of an upstream of the tests' service in a relay.
+func recordNotice(r *Relay, run upstream.Run, n upstream.Notice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	r.lane(now, "s").pool.Conditions().Note(now, now, run, n)
+	r.serviceState(now, "s").pool.Conditions().Note(now, now, run, n)
 }
 
-func newMortal(t *testing.T, script func(f *mortal, c net.Conn)) *mortal {
+func newStoppableUpstream(t *testing.T, script func(f *stoppableUpstream, c net.Conn)) *stoppableUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &mortal{address: l.Addr().String(), listen: l}
+	f := &stoppableUpstream{address: l.Addr().String(), listen: l}
 	t.Cleanup(f.end)
 	go func() {
 		for {
@@ -112,17 +117,18 @@
 	return f
 }
 
-func (f *mortal) end() { _ = f.listen.Close() }
+func (f *stoppableUpstream) end() { _ = f.listen.Close() }
 
-// TestQuarantine checks what a caller is told whose request crashes upstreams, and that no more is sent.
+// TestQuarantine checks the answer to a request that crashes upstreams, and that it is not sent any
+// more.
 func TestQuarantine(t *testing.T) {
 	cases := map[string]struct {
 		ends int
-		// running says that another try of the same runs.
+		// running reports whether another attempt of the same request is running.
 		running bool
 		status  int
 		sent    int32
-		// after is the least time after which the caller may come back.
+		// after is the minimum retry advice.
 		after time.Duration
 	}{
 		"one end":                        {ends: 1, status: 200, sent: 1},
@@ -132,7 +138,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFake(t, func(_ int, h map[string]string, conn net.Conn) { whole(conn, h["Id"], "ok") })
+			f := newFake(t, func(_ int, h map[string]string, conn net.Conn) { writeAnswer(conn, h["Id"], "ok") })
 			s, r := start(t, f)
 			now := time.Now()
 			r.Crashes(func(g *quarantine.Register) {
@@ -157,7 +163,8 @@
 	}
 }
 
-// TestOutlived checks that what ran when connections broke off is cleared as soon as the same upstream answers again.
+// TestOutlived checks that requests which ran when connections broke are cleared as soon as the
+// same upstream answers again.
 func TestOutlived(t *testing.T) {
 	_, r := start(t, newFake(t, nil))
 	now := time.Now()
@@ -165,29 +172,30 @@
 	r.Crashes(func(g *quarantine.Register) {
 		g.Add(now, quarantine.Crash{Key: k, Run: upstream.Run{ID: "e"}, Lasted: 100 * time.Millisecond})
 	})
-	r.looks[u.Run()] = &look{at: now, doubtful: []doubtful{{key: k, lasted: 2 * time.Second}}}
+	r.probes[u.Run()] = &probe{at: now, suspects: []suspect{{key: k, lasted: 2 * time.Second}}}
 	for _, step := range []struct {
 		head    services.Execution
 		cleared bool
 	}{{services.ExecutionStranger, false}, {services.ExecutionNone, true}} {
-		r.noteAnswer(now, &answer{upstream: u, head: services.UpstreamAnswer{Execution: step.head}})
+		r.recordAnswer(now, &answer{upstream: u, head: services.UpstreamAnswer{Execution: step.head}})
 		if got := crashes(r); len(got) != 1 || got[0].Cleared != step.cleared {
 			t.Errorf("after an answer %q: %+v, want cleared: %t", step.head, got, step.cleared)
 		}
 	}
 }
 
-// TestLooksAgain checks that what ran when connections to an upstream broke off is still known after they broke off once more.
+// TestLooksAgain checks that requests which ran when connections to an upstream broke are still
+// suspects after the connections broke once more.
 func TestLooksAgain(t *testing.T) {
-	f := newMortal(t, func(*mortal, net.Conn) {})
+	f := newStoppableUpstream(t, func(*stoppableUpstream, net.Conn) {})
 	_, r := start(t, newFake(t, nil))
 	now, u := time.Now(), upstream.Instance{ID: "u0", Address: f.address}
-	first := doubtful{key: askedKey("/stream/x"), lasted: time.Second}
-	r.looks[u.Run()] = &look{at: now.Add(-2 * lookValid), doubtful: []doubtful{first}}
+	first := suspect{key: askedKey("/stream/x"), lasted: time.Second}
+	r.probes[u.Run()] = &probe{at: now.Add(-2 * probeValidity), suspects: []suspect{first}}
 	x := &exchange{r: r, account: "seiryu", digest: askedKey("/stream/y").Digest}
-	r.lookAfter(t.Context(), x, u, now, 2*time.Second)
-	want := []doubtful{first, {key: x.key(), lasted: 2 * time.Second}}
-	if got := r.takeDoubtful(u.Run()); !slices.Equal(got, want) {
+	r.probeAfterBreak(t.Context(), x, u, now, 2*time.Second)
+	want := []suspect{first, {key: x.key(), lasted: 2 * time.Second}}
+	if got := r.takeSuspects(u.Run()); !slices.Equal(got, want) {
 		t.Errorf("kept %+v, want %+v", got, want)
 	}
 }
--- a/services/relay/handler.go
+++ b/services/relay/handler.go
@@ -21,10 +21,10 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// Reason tells why a router answers a request itself. Reasons stand in logs and metrics.
+// Reason states why a router answers a request itself. Reasons appear in logs and metrics.
 type Reason string
 
-// The reasons.
+// The possible reasons.
 const (
 	ReasonStarting    Reason = "no-catalog"
 	ReasonStale       Reason = "catalog-too-old"
@@ -45,27 +45,28 @@
 )
 
 const (
-	// denyPart is the part of the time in which a change must be in force, up to which the age of a catalog
-	// lets it say that a route or key does not exist.
-	denyPart = 0.9
-	// freshnessMargin is taken off the time in which keys that were taken away may still be let in.
+	// maxDenyFraction is the fraction of the time within which a change must be in force. A catalog
+	// whose age is at most that may be used to deny that a route or key exists.
+	maxDenyFraction = 0.9
+	// freshnessMargin is subtracted from the time during which revoked keys may still be accepted.
 	freshnessMargin = 300 * time.Millisecond
-	// retryStarting is when a caller may come back to a process that does not know enough yet.
+	// retryStarting is the retry advice of a process whose catalog or upstreams are not complete or
+	// current yet.
 	retryStarting = 300 * time.Millisecond
-	// retryBusy is the least time after which a caller may come back that found all upstreams busy; up to
-	// retryBusySpread is added by chance, so that callers do not come back together.
+	// retryBusy is the minimum retry advice for a caller when all upstreams are busy. A random part
+	// of up to retryBusySpread is added, so that callers do not retry at the same time.
 	retryBusy       = 250 * time.Millisecond
 	retryBusySpread = 250 * time.Millisecond
-	// defaultPatience bounds requests whose route and caller give no time.
-	defaultPatience = 30 * time.Second
-	// leaveStreams is how long after the order to stop a process still takes streams: later ones might
-	// not end before it does.
-	leaveStreams = 3 * time.Second
-	// defaultBytes bounds a body when the catalog gives no limit, in bytes.
-	defaultBytes = 4 << 20
+	// defaultTimeout bounds requests for which neither route nor caller sets a timeout.
+	defaultTimeout = 30 * time.Second
+	// streamGrace is how long after the order to stop a process still accepts streams: later ones
+	// might not end before the process does.
+	streamGrace = 3 * time.Second
+	// defaultMaxBytes bounds a body when the catalog sets no limit.
+	defaultMaxBytes = 4 << 20
 )
 
-// exchange is one request on its way.
+// exchange is the state of one request of a caller.
 type exchange struct {
 	r        *Relay
 	w        http.ResponseWriter
@@ -80,36 +81,40 @@
 	// maxBytes bounds the body.
 	maxBytes int64
 	body     []byte
-	// digest stands for what the request asks, whatever its id: a caller that comes again has another id.
+	// digest identifies the content of the request, whatever its id: a caller that retries sends
+	// another id.
 	digest request.Digest
-	// version and age tell of the catalog by which the request was judged.
+	// version and age are those of the catalog by which the request was admitted.
 	version catalog.Version
 	age     time.Duration
 
 	tried    map[upstream.ID]bool
 	attempts int
-	// mayRun says that an attempt may have run or may still run.
+	// mayRun reports whether an attempt may have run or may still run.
 	mayRun bool
-	// paidFor says that the next attempt has been taken out of the budget already.
-	paidFor bool
-	last    upstream.ID
-	// failure is the answer of an upstream that has failed, while others are tried.
-	failure *wholeAnswer
-	// waited is how long the request has waited for room, waitedUnsent the part of it since it was last sent.
+	// retryTaken reports whether the next attempt has already been taken out of the retry budget.
+	retryTaken bool
+	last       upstream.ID
+	// failure is the answer of an upstream that failed, while other upstreams are tried.
+	failure *completeAnswer
+	// waited is how long the request has waited for room; waitedUnsent is the part of it since the
+	// request was last sent.
 	waited, waitedUnsent time.Duration
-	// running says that the request counts as one that runs, and crashes is the number of upstreams that have ended under it.
+	// running reports whether the request is counted as running; crashes is the number of upstreams
+	// that ended while they ran it.
 	running bool
 	crashes int
-	// comeBack is when room is forecast for a request that found none, and told what its caller was told of that.
-	comeBack, told time.Duration
-	stream         streamState
+	// retryAfter is the forecast time until there is room for a request that found none; advised is
+	// the retry advice sent to the caller.
+	retryAfter, advised time.Duration
+	stream              streamState
 }
 
-// refusal is an answer of the router's own.
+// refusal is an answer that the router gives itself.
 type refusal struct {
-	status int
-	reason Reason
-	after  time.Duration
+	status     int
+	reason     Reason
+	retryAfter time.Duration
 }
 
 // ServeHTTP serves one request of a caller.
@@ -127,8 +132,8 @@
 	if !leaving.IsZero() {
 		w.Header().Set("Connection", "close")
 	}
-	if no := x.admit(leaving); no != nil {
-		x.refuse(*no)
+	if ref := x.admit(leaving); ref != nil {
+		x.refuse(*ref)
 		return
 	}
 	ctx, cancel := clock.WithDeadline(req.Context(), x.deadline)
@@ -136,16 +141,16 @@
 	x.run(ctx)
 }
 
-// admit judges a request by the catalog and reads its body.
+// admit checks a request against the catalog and reads its body.
 func (x *exchange) admit(leaving time.Time) *refusal {
 	if x.meta.ID == "" {
 		return &refusal{status: http.StatusBadRequest, reason: ReasonBadRequest}
 	}
-	if no := x.judge(); no != nil {
-		return no
+	if ref := x.judge(); ref != nil {
+		return ref
 	}
-	if !leaving.IsZero() && x.route.Kind == catalog.KindStream && x.arrived.Sub(leaving) > leaveStreams {
-		return &refusal{status: http.StatusServiceUnavailable, reason: ReasonLeaving, after: retryStarting}
+	if !leaving.IsZero() && x.route.Kind == catalog.KindStream && x.arrived.Sub(leaving) > streamGrace {
+		return &refusal{status: http.StatusServiceUnavailable, reason: ReasonLeaving, retryAfter: retryStarting}
 	}
 	body, err := httpx.ReadAll(x.req.Body, x.maxBytes)
 	var large httpx.ErrTooLarge
@@ -156,28 +161,28 @@
 		return &refusal{status: http.StatusBadRequest, reason: ReasonBadRequest}
 	}
 	x.body = body
-	x.digest = contentOf(x.req, body)
+	x.digest = contentDigest(x.req, body)
 	return nil
 }
 
-// contentOf returns the digest of what a request asks.
-func contentOf(req *http.Request, body []byte) request.Digest {
+// contentDigest returns the digest of the content of a request.
+func contentDigest(req *http.Request, body []byte) request.Digest {
 	path, query, _ := strings.Cut(req.RequestURI, "?")
 	return request.NewDigest(body, req.Method, hostName(req.Host), path, query)
 }
 
-// judge finds the route and the account of a request.
+// judge resolves the route and the account of a request.
 func (x *exchange) judge() *refusal {
 	x.r.mu.Lock()
 	defer x.r.mu.Unlock()
-	know := x.r.know
-	if !know.Complete() {
-		return &refusal{status: http.StatusServiceUnavailable, reason: ReasonStarting, after: retryStarting}
+	state := x.r.state
+	if !state.Complete() {
+		return &refusal{status: http.StatusServiceUnavailable, reason: ReasonStarting, retryAfter: retryStarting}
 	}
-	index := know.Index()
-	x.version, x.age = index.Version, know.CatalogAge(x.arrived)
+	index := state.Index()
+	x.version, x.age = index.Version, state.CatalogAge(x.arrived)
 	if x.maxBytes = int64(index.MaxBytes); x.maxBytes <= 0 {
-		x.maxBytes = defaultBytes
+		x.maxBytes = defaultMaxBytes
 	}
 	x.route = index.Route(hostName(x.req.Host), pathOf(x.req.RequestURI))
 	if x.route == nil {
@@ -188,8 +193,8 @@
 		if a == nil {
 			return x.deny(http.StatusUnauthorized, ReasonNoKey)
 		}
-		if x.r.keyMayBeGone(x.age) {
-			return &refusal{status: http.StatusServiceUnavailable, reason: ReasonStale, after: retryStarting}
+		if x.r.keyMayBeRevoked(x.age) {
+			return &refusal{status: http.StatusServiceUnavailable, reason: ReasonStale, retryAfter: retryStarting}
 		}
 		x.account = a.ID
 		x.urgency = x.route.Priority
@@ -197,9 +202,9 @@
 			x.urgency = a.Priority
 		}
 	}
-	x.service = target(x.route)
-	x.r.lane(x.arrived, x.service).budget.Request(x.arrived)
-	left := defaultPatience
+	x.service = pickService(x.route)
+	x.r.serviceState(x.arrived, x.service).budget.Request(x.arrived)
+	left := defaultTimeout
 	if x.route.Timeout > 0 {
 		left = x.route.Timeout
 	}
@@ -210,16 +215,17 @@
 	return nil
 }
 
-// keyMayBeGone reports whether a key that a catalog of some age holds may have been taken away so long ago that it must not
-// be let in. The caller holds the lock.
-func (r *Relay) keyMayBeGone(age time.Duration) bool {
+// keyMayBeRevoked reports whether a key in a catalog of the given age may have been revoked so long
+// ago that it must not be accepted. The caller holds the lock.
+func (r *Relay) keyMayBeRevoked(age time.Duration) bool {
 	return !r.opts.Bounds.KeepKeys && age > r.opts.Bounds.KeyFreshness-freshnessMargin
 }
 
-// deny refuses for good if the catalog is fresh enough to know, or else for now.
+// deny refuses a request for good if the catalog is fresh enough to be relied on, or else
+// temporarily.
 func (x *exchange) deny(status int, reason Reason) *refusal {
-	if x.age > time.Duration(denyPart*float64(x.r.opts.Bounds.ApplyTime)) {
-		return &refusal{status: http.StatusServiceUnavailable, reason: ReasonStale, after: retryStarting}
+	if x.age > time.Duration(maxDenyFraction*float64(x.r.opts.Bounds.ApplyTime)) {
+		return &refusal{status: http.StatusServiceUnavailable, reason: ReasonStale, retryAfter: retryStarting}
 	}
 	return &refusal{status: status, reason: reason}
 }
@@ -243,15 +249,15 @@
 }
 
 // refuse answers a request without an upstream's answer.
-func (x *exchange) refuse(no refusal) {
-	x.told = no.after
+func (x *exchange) refuse(ref refusal) {
+	x.advised = ref.retryAfter
 	h := x.w.Header()
-	for name, values := range x.r.opts.Protocol.Refusal(x.meta.ID, no.after) {
+	for name, values := range x.r.opts.Protocol.Refusal(x.meta.ID, ref.retryAfter) {
 		h[name] = values
 	}
 	h.Set("Content-Length", "0")
-	x.w.WriteHeader(no.status)
-	x.finish(no.status, no.reason)
+	x.w.WriteHeader(ref.status)
+	x.finish(ref.status, ref.reason)
 }
 
 // finish logs and counts the end of a request.
@@ -270,12 +276,12 @@
 	event.Str("request", string(x.meta.ID)).Stringer("digest", x.digest).Int("status", status).Str("reason", string(reason)).
 		Str("service", string(x.service)).Str("upstream", string(x.last)).Int("attempts", x.attempts).
 		Uint64("catalog", uint64(x.version)).Int64("catalog_age_ms", x.age.Milliseconds()).Int64("patience_ms", x.meta.Patience.Milliseconds()).
-		Int64("retry_after_ms", x.told.Milliseconds()).Int64("waited_ms", x.waited.Milliseconds()).Int64("took_ms", took.Milliseconds()).Int("events", x.stream.events).Msg(outcome)
+		Int64("retry_after_ms", x.advised.Milliseconds()).Int64("waited_ms", x.waited.Milliseconds()).Int64("took_ms", took.Milliseconds()).Int("events", x.stream.events).Msg(outcome)
 }
 
 // busy returns the refusal for a request that has not run because there is no room.
 func (x *exchange) busy() refusal {
 	spread := time.Duration(rand.Int64N(int64(retryBusySpread))) //nolint:gosec // no secret
-	after := max(x.comeBack, retryBusy) + spread
-	return refusal{status: http.StatusServiceUnavailable, reason: ReasonNoRoom, after: after}
+	after := max(x.retryAfter, retryBusy) + spread
+	return refusal{status: http.StatusServiceUnavailable, reason: ReasonNoRoom, retryAfter: after}
 }
--- a/services/relay/limits.go
+++ b/services/relay/limits.go
@@ -13,44 +13,46 @@
 	"fawnwinch.org/fawnwinch/services/peer"
 )
 
-// NamedLimit is what a router knows of the limit of an upstream, as it tells others.
+// NamedLimit is the limit of an upstream in the form that routers send each other.
 type NamedLimit struct {
 	Service service.ID
 	Run     upstream.Run
 	Limit   condition.ToldLimit
 }
 
-// LimitMark returns how far the router's knowledge of limits has come.
+// LimitMark returns the watermark of the limits that the router has a record of.
 func (r *Relay) LimitMark() peer.Mark {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := peer.Mark{Start: r.start}
-	for _, l := range r.pools {
-		m.Position += peer.Position(l.pool.Conditions().Changes())
+	for _, svc := range r.pools {
+		m.Position += peer.Position(svc.pool.Conditions().Changes())
 	}
 	return m
 }
 
-// Limits returns what the router knows of limits. There are few: of the upstreams that are in need, or were lately.
+// Limits returns the recorded limits. There are few: those of upstreams that limit requests now or
+// did so recently.
 func (r *Relay) Limits(now time.Time) []NamedLimit {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []NamedLimit
-	for id, l := range r.pools {
-		for run, limit := range l.pool.Conditions().Limits() {
+	for id, svc := range r.pools {
+		for run, limit := range svc.pool.Conditions().Limits() {
 			out = append(out, NamedLimit{Service: id, Run: run, Limit: limit.Told(now)})
 		}
 	}
 	return out
 }
 
-// LearnLimits takes in what another router knows of limits, which was asked for at a time. It reports how many are news.
+// LearnLimits merges the limits of another router, which were requested at the time asked. It
+// returns the number of changes.
 func (r *Relay) LearnLimits(asked time.Time, limits []NamedLimit) int {
 	now, count := clock.Now(), 0
 	for _, n := range limits {
-		news := r.learnLimit(asked, now, n)
-		count += len(news)
-		r.logTold(n.Service, n.Run, n.Limit, news)
+		changes := r.learnLimit(asked, now, n)
+		count += len(changes)
+		r.logLearned(n.Service, n.Run, n.Limit, changes)
 	}
 	return count
 }
@@ -58,16 +60,16 @@
 func (r *Relay) learnLimit(asked, now time.Time, n NamedLimit) []condition.News {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if index := r.know.Index(); index == nil || index.Service(n.Service) == nil {
+	if index := r.state.Index(); index == nil || index.Service(n.Service) == nil {
 		return nil
 	}
-	return r.lane(now, n.Service).pool.Conditions().Learn(n.Run, n.Limit.At(asked, now))
+	return r.serviceState(now, n.Service).pool.Conditions().Learn(n.Run, n.Limit.At(asked, now))
 }
 
-// logTold logs what another router has told of a limit.
-func (r *Relay) logTold(id service.ID, run upstream.Run, told condition.ToldLimit, news []condition.News) {
-	for _, n := range news {
-		r.opts.Logger.Info().Str("condition", string(n.Kind)).Bool("ended", n.Ended).Bool("told", true).Float64("limit_per_second", float64(told.Rate)).
-			Int64("age_ms", told.HeardAge.Milliseconds()).Str("upstream", string(run.ID)).Int64("born", int64(run.Born)).Str("service", string(id)).Msg("upstream-notice")
+// logLearned logs the changes that another router's report of a limit has caused.
+func (r *Relay) logLearned(id service.ID, run upstream.Run, limit condition.ToldLimit, changes []condition.News) {
+	for _, n := range changes {
+		r.opts.Logger.Info().Str("condition", string(n.Kind)).Bool("ended", n.Ended).Bool("told", true).Float64("limit_per_second", float64(limit.Rate)).
+			Int64("age_ms", limit.HeardAge.Milliseconds()).Str("upstream", string(run.ID)).Int64("born", int64(run.Born)).Str("service", string(id)).Msg("upstream-notice")
 	}
 }
--- a/services/relay/notices.go
+++ b/services/relay/notices.go
@@ -11,23 +11,24 @@
 	"fawnwinch.org/fawnwinch/services/condition"
 )
 
-// noteNotice takes in what an upstream says of itself beside an answer.
-func (x *exchange) noteNotice(now time.Time, a *answer) {
+// recordNotice records the notice that an upstream has sent with an answer.
+func (x *exchange) recordNotice(now time.Time, a *answer) {
 	if a.head.Execution == services.ExecutionStranger {
-		return // it is the word of another upstream than was asked
+		return // the notice is from another upstream than the one addressed
 	}
 	x.r.mu.Lock()
-	news := x.r.lane(now, x.service).pool.Conditions().Note(now, a.began, a.upstream.Run(), a.head.Notice)
+	changes := x.r.serviceState(now, x.service).pool.Conditions().Note(now, a.began, a.upstream.Run(), a.head.Notice)
 	x.r.mu.Unlock()
-	for _, n := range news {
+	for _, n := range changes {
 		x.logNotice(a, n)
 		if n.Kind == condition.KindLimited && n.Ended {
-			go x.r.tellEnded(a.upstream, x)
+			go x.r.notifyLimitEnded(a.upstream, x)
 		}
 	}
 }
 
-// logNotice logs what an answer has changed. An upstream that goes on saying the same has no further line.
+// logNotice logs a change of condition. An upstream that repeats the same notice causes no further
+// line.
 func (x *exchange) logNotice(a *answer, n condition.News) {
 	event := x.r.opts.Logger.Info()
 	if n.Unread != nil {
@@ -35,12 +36,12 @@
 	} else {
 		event.Str("condition", string(n.Kind)).Bool("ended", n.Ended)
 	}
-	said := a.head.Notice
+	notice := a.head.Notice
 	switch {
 	case n.Kind == condition.KindLimited && !n.Ended:
-		event.Float64("limit_per_second", float64(said.Limit))
+		event.Float64("limit_per_second", float64(notice.Limit))
 	case n.Kind == condition.KindResting:
-		event.Int64("rest_ms", said.Rest.Milliseconds())
+		event.Int64("rest_ms", notice.Rest.Milliseconds())
 	}
 	event.Str("upstream", string(a.upstream.ID)).Int64("born", int64(a.upstream.Born)).Str("address", a.upstream.Address).Str("service", string(x.service)).
 		Str("request", string(x.meta.ID)).Int("status", a.resp.StatusCode).Msg("upstream-notice")
@@ -51,15 +52,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := map[condition.Kind]int{condition.KindLimited: 0, condition.KindResting: 0, condition.KindLeaving: 0}
-	for _, l := range r.pools {
-		for kind, n := range l.pool.Conditions().Counts(now) {
+	for _, svc := range r.pools {
+		for kind, n := range svc.pool.Conditions().Counts(now) {
 			out[kind] += n
 		}
 	}
 	return out
 }
 
-// measureConditions serves the number of upstreams in each condition.
+// measureConditions exports the number of upstreams in each condition as a metric.
 func (r *Relay) measureConditions(m *metrics.Metrics, now func() time.Time) {
 	m.Each("upstreams_by_condition", "Upstreams that have said in answers to this router that they leave, rest or limit their requests.", "condition", false, func() []metrics.Sample {
 		var out []metrics.Sample
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package relay passes the requests of callers on to upstreams and their answers back. It decides what
-// is sent where, what is sent again, and what a caller is told when there is no answer.
+// Package relay forwards the requests of callers to upstreams and returns their answers. It decides
+// which upstream gets a request, what is retried, and what a caller is answered when no upstream
+// answers.
 package relay
 
 import (
@@ -44,85 +45,87 @@
 	conns *httpconn.Pool
 
 	mu      sync.Mutex
-	know    *knowledge.State
-	pools   map[service.ID]*lane
+	state   *knowledge.State
+	pools   map[service.ID]*serviceState
 	routers int
 	leaving time.Time
-	// unreported is called when a request comes for a service with groups whose load nobody tells.
+	// unreported is called when a request arrives for a service with groups that has ranks without
+	// a reported load.
 	unreported func(service.ID)
 	active     int
-	// runs holds the run of the upstream to which the connections of an address lead.
+	// runs holds the run of the upstream to which connections to an address lead.
 	runs map[string]upstream.Run
-	// crashes holds which requests upstreams have ended under, and onCrash is called when more is known of that.
+	// crashes records the requests during which upstreams ended; onCrash is called when it has
+	// changed.
 	crashes *quarantine.Register
 	onCrash func()
-	// running counts the requests that run, by what they ask.
+	// running counts the running requests by content.
 	running map[quarantine.Key]int
-	// looks holds the looks at upstreams whose connections broke off.
-	looks map[upstream.Run]*look
-	// permits gives permits for upstreams that limit their requests.
+	// probes holds the probes of upstreams whose connections broke.
+	probes map[upstream.Run]*probe
+	// permits grants permits for upstreams that limit their requests.
 	permits services.Permits
-	// start tells the relays of a VM apart.
+	// start distinguishes this relay from earlier ones on the same VM.
 	start uint64
 }
 
-// lane is the way to the upstreams of one service.
-type lane struct {
+// serviceState is the state of one service: its upstreams, retry budget and queue.
+type serviceState struct {
 	service service.ID
 	pool    *balance.Pool
 	budget  *balance.Budget
 	queue   *admission.Queue
-	// ready takes the upstream of each request that waits.
+	// ready receives the upstream for each waiting request.
 	ready map[*admission.Request]chan upstream.Instance
-	// coverageAt is when it was last looked whether the load of each rank is told.
+	// coverageAt is when the ranks were last checked for missing load reports.
 	coverageAt time.Time
 }
 
-// New returns a relay that knows nothing yet.
+// New returns a relay without a catalog or upstreams.
 func New(o Options) *Relay {
 	r := &Relay{
-		opts: o, conns: httpconn.NewPool(), know: knowledge.New(o.Bounds.DrainTime), pools: map[service.ID]*lane{}, routers: 1, unreported: func(service.ID) {},
-		runs: map[string]upstream.Run{}, crashes: quarantine.NewRegister(clock.Now()), onCrash: func() {}, running: map[quarantine.Key]int{}, looks: map[upstream.Run]*look{},
-		permits: alone{quota.NewLedger()}, start: uint64(max(clock.Now().UnixNano(), 1)),
+		opts: o, conns: httpconn.NewPool(), state: knowledge.New(o.Bounds.DrainTime), pools: map[service.ID]*serviceState{}, routers: 1, unreported: func(service.ID) {},
+		runs: map[string]upstream.Run{}, crashes: quarantine.NewRegister(clock.Now()), onCrash: func() {}, running: map[quarantine.Key]int{}, probes: map[upstream.Run]*probe{},
+		permits: localPermits{quota.NewLedger()}, start: uint64(max(clock.Now().UnixNano(), 1)),
 	}
 	o.Metrics.Gauge("requests_quarantined", "Requests that are refused because upstreams ended under them.", nil, func() float64 { return float64(r.Refused(clock.Now())) })
 	r.measureConditions(o.Metrics, clock.Now)
 	return r
 }
 
-// Know calls f with the router's knowledge, under the relay's lock.
+// Know calls f with the router's state under the relay's lock.
 func (r *Relay) Know(f func(s *knowledge.State)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(r.know)
+	f(r.state)
 }
 
-// LetsIn reports whether the catalog is fresh enough to let callers with keys in.
+// LetsIn reports whether the catalog is fresh enough to accept callers with keys.
 func (r *Relay) LetsIn(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.know.Complete() && !r.keyMayBeGone(r.know.CatalogAge(now))
+	return r.state.Complete() && !r.keyMayBeRevoked(r.state.CatalogAge(now))
 }
 
-// Routers notes how many routers callers use, this one included.
+// Routers sets the number of routers that callers use, this one included.
 func (r *Relay) Routers(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.routers = n
 }
 
-// Rebound takes over new bounds.
+// Rebound applies new bounds.
 func (r *Relay) Rebound(now time.Time, b setting.Bounds) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.opts.Bounds = b
-	r.know.Rebound(b.DrainTime)
-	for _, l := range r.pools {
-		l.budget.Rebound(now, b.RetryRatio, b.RetrySlack, b.RetryWindow, r.routers)
+	r.state.Rebound(b.DrainTime)
+	for _, svc := range r.pools {
+		svc.budget.Rebound(now, b.RetryRatio, b.RetrySlack, b.RetryWindow, r.routers)
 	}
 }
 
-// Leave says that the process was told to stop at a time.
+// Leave records when the process was ordered to stop.
 func (r *Relay) Leave(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,68 +139,72 @@
 	return r.active
 }
 
-// Told is what a router adds to the load of a group.
+// Told is what a router adds to the load report of a group.
 type Told struct {
-	// Unstarted counts the requests at each rank that have not begun.
+	// Unstarted counts the requests at each rank whose answer has not begun.
 	Unstarted balance.Unstarted
-	// Wanted is how many requests the router would like to send until the next report, and Waiting how many of them wait.
+	// Wanted is the number of requests that the router would like to send until the next report;
+	// Waiting is how many of them wait.
 	Wanted, Waiting int
-	// Rate is the number of requests that the router sends in a second.
+	// Rate is the number of requests that the router sends per second.
 	Rate float64
-	// Idle says that there has been no request for a while.
+	// Idle reports whether there has been no request for a while.
 	Idle bool
-	// Most bounds what the router may send to some ranks.
+	// Most bounds the number of requests that the router may send to some ranks.
 	Most balance.Most
-	// Resting holds the addresses of the ranks that have turned the router away.
+	// Resting holds the addresses of the ranks that have refused the router's requests.
 	Resting []string
 }
 
-// OnUnreported has a function called when a request comes for a service with model groups and nobody tells the load of some of its ranks.
+// OnUnreported sets the function that is called when a request arrives for a service with model
+// groups and the load of some of its ranks is not reported.
 func (r *Relay) OnUnreported(f func(service.ID)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.unreported = f
 }
 
-// Share has permits for upstreams that limit their requests given by what all routers share.
+// Share sets the permit grantor for upstreams that limit their requests, which all routers share.
 func (r *Relay) Share(p services.Permits) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.permits = p
 }
 
-// Report takes in the load of a model group, and returns what this router adds to it.
+// Report applies the load of a model group, and returns what this router adds to it.
 func (r *Relay) Report(now time.Time, g balance.Group) Told {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := service.ID(g.Service)
 	ids := map[string]upstream.Run{}
-	for _, i := range r.know.Usable(now, id) {
+	for _, i := range r.state.Usable(now, id) {
 		ids[i.Address] = i.Run()
 	}
-	l := r.lane(now, id)
-	mine := l.pool.Report(now, g, ids)
-	r.wake(now, l)
-	most, resting := l.pool.Most(now, ids)
+	svc := r.serviceState(now, id)
+	unstarted := svc.pool.Report(now, g, ids)
+	r.wake(now, svc)
+	most, resting := svc.pool.Most(now, ids)
 	return Told{
-		Unstarted: mine, Wanted: l.queue.Wanted(now), Waiting: l.queue.Waiting(), Rate: l.queue.Rate(now), Idle: len(mine) == 0 && l.queue.Idle(now),
+		Unstarted: unstarted, Wanted: svc.queue.Wanted(now), Waiting: svc.queue.Waiting(), Rate: svc.queue.Rate(now), Idle: len(unstarted) == 0 && svc.queue.Idle(now),
 		Most: most, Resting: resting,
 	}
 }
 
-// Coverage tells how many ranks of a service with model groups have a load that a coordinator has told lately.
+// Coverage states for how many ranks of a service with model groups a coordinator has recently
+// reported the load.
 type Coverage struct {
 	Service service.ID
-	// Listed counts the ranks that may take work, and Unreported holds the addresses of those of whose load nobody tells.
+	// Listed counts the ranks that may accept work; Unreported holds the addresses of those whose
+	// load is not reported.
 	Listed     int
 	Unreported []string
 }
 
-// Coverage tells for each service with model groups how far the loads of its ranks are told.
+// Coverage returns the coverage of each service with model groups.
 func (r *Relay) Coverage(now time.Time) []Coverage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	index := r.know.Index()
+	index := r.state.Index()
 	if index == nil {
 		return nil
 	}
@@ -207,9 +214,9 @@
 		if s.Engine == nil {
 			continue
 		}
-		usable := r.know.Usable(now, s.ID)
+		usable := r.state.Usable(now, s.ID)
 		c := Coverage{Service: s.ID, Listed: len(usable)}
-		for _, u := range r.lane(now, s.ID).pool.Unreported(now, usable) {
+		for _, u := range r.serviceState(now, s.ID).pool.Unreported(now, usable) {
 			c.Unreported = append(c.Unreported, u.Address)
 		}
 		out = append(out, c)
@@ -217,47 +224,47 @@
 	return out
 }
 
-// Sweep drops what is no longer needed.
+// Sweep drops expired state.
 func (r *Relay) Sweep(now time.Time) {
 	r.conns.Sweep(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	listed, addresses := map[upstream.Run]bool{}, map[string]bool{}
-	for _, c := range r.know.All() {
+	for _, c := range r.state.All() {
 		listed[c.Value.Run()] = true
 		addresses[c.Value.Address] = true
 	}
 	r.crashes.Sweep(now)
-	maps.DeleteFunc(r.looks, func(_ upstream.Run, l *look) bool { return l.old(now) })
+	maps.DeleteFunc(r.probes, func(_ upstream.Run, p *probe) bool { return p.expired(now) })
 	maps.DeleteFunc(r.runs, func(address string, _ upstream.Run) bool { return !addresses[address] })
-	for _, l := range r.pools {
-		l.pool.Forget(now, listed)
-		r.wake(now, l)
+	for _, svc := range r.pools {
+		svc.pool.Forget(now, listed)
+		r.wake(now, svc)
 	}
 }
 
 // Connections returns the number of connections opened to upstreams.
 func (r *Relay) Connections() uint64 { return r.conns.Opened.Load() }
 
-// Close closes resting connections.
+// Close closes idle connections.
 func (r *Relay) Close() { r.conns.Close() }
 
-// lane returns the way to a service. The caller holds the lock.
-func (r *Relay) lane(now time.Time, id service.ID) *lane {
-	l, ok := r.pools[id]
+// serviceState returns the state of a service, and creates it if needed. The caller holds the lock.
+func (r *Relay) serviceState(now time.Time, id service.ID) *serviceState {
+	svc, ok := r.pools[id]
 	if !ok {
 		pool := balance.NewPool(r.opts.DataCentre)
-		l = &lane{
+		svc = &serviceState{
 			service: id, pool: pool, queue: admission.NewQueue(pool), ready: map[*admission.Request]chan upstream.Instance{},
 			budget: balance.NewBudget(now, r.opts.Bounds.RetryRatio, r.opts.Bounds.RetrySlack, r.opts.Bounds.RetryWindow, r.routers),
 		}
-		r.pools[id] = l
+		r.pools[id] = svc
 	}
-	return l
+	return svc
 }
 
-// target draws one of a route's services by their weights.
-func target(rt *catalog.Route) service.ID {
+// pickService picks one of a route's services at random by their weights.
+func pickService(rt *catalog.Route) service.ID {
 	var sum float64
 	for _, t := range rt.Targets {
 		sum += t.Weight
@@ -271,36 +278,36 @@
 	return rt.Targets[0].Service
 }
 
-// release notes the end of an attempt.
+// release records the end of an attempt.
 func (r *Relay) release(id service.ID, u upstream.Instance, res balance.Result, took time.Duration, started bool) {
 	now := clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.lane(now, id)
-	l.pool.Done(now, u.Run(), res, took, started)
-	r.wake(now, l)
+	svc := r.serviceState(now, id)
+	svc.pool.Done(now, u.Run(), res, took, started)
+	r.wake(now, svc)
 	if res == balance.ResultUnreached || res == balance.ResultStranger {
 		r.conns.Drop(u.Address)
 	}
 }
 
-// reach notes to which run of an upstream its address leads now, and closes resting connections that lead to another: a request
-// that may not be repeated would be lost on one.
-func (r *Relay) reach(u upstream.Instance) {
+// updateRun records to which run of an upstream its address leads now, and closes idle connections
+// to an earlier run: a request that may not be repeated would be lost on one.
+func (r *Relay) updateRun(u upstream.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if before, known := r.runs[u.Address]; known && before != u.Run() {
+	if previous, known := r.runs[u.Address]; known && previous != u.Run() {
 		r.conns.Drop(u.Address)
 	}
 	r.runs[u.Address] = u.Run()
 }
 
-// started notes that the answer of an upstream has begun.
+// started records that the answer of an upstream has begun.
 func (r *Relay) started(id service.ID, u upstream.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Now()
-	r.lane(now, id).pool.Started(now, u.Run())
+	r.serviceState(now, id).pool.Started(now, u.Run())
 }
 
 // mayRetry takes one retry out of the budget of a service.
@@ -308,5 +315,5 @@
 	now := clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lane(now, id).budget.Take(now)
+	return r.serviceState(now, id).budget.Take(now)
 }
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -33,10 +33,10 @@
 	"github.com/rs/zerolog"
 )
 
-// place returns a place of a store that has not come back from a copy.
+// place returns a position in a store that has never been restored from a copy.
 func place(o services.Offset) services.Place { return services.Place{Offset: o} }
 
-// protocol is a caller protocol of the tests' own.
+// protocol is a minimal caller protocol for the tests.
 type protocol struct{}
 
 func (protocol) Describe(h http.Header) services.CallerMeta {
@@ -72,8 +72,8 @@
 	return http.Header{"Retry-After": {strconv.FormatFloat(after.Seconds(), 'f', 3, 64)}}
 }
 
-// fake is an upstream that answers each request with what its script says. A request is what the head
-// said, by name, with the request line under "".
+// fake is an upstream that answers each request by a script. The script gets the header fields of a
+// request by name, with the request line under "".
 type fake struct {
 	address string
 	got     atomic.Int32
@@ -104,13 +104,13 @@
 	}
 }
 
-func say(c net.Conn, format string, args ...any) { _, _ = fmt.Fprintf(c, format, args...) }
+func writef(c net.Conn, format string, args ...any) { _, _ = fmt.Fprintf(c, format, args...) }
 
-func whole(c net.Conn, id, body string) {
-	say(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
+func writeAnswer(c net.Conn, id, body string) {
+	writef(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// reset ends a connection without a word.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -129,12 +129,12 @@
 	Accounts: []catalog.Account{{ID: "seiryu", Keys: []catalog.Key{"k"}}},
 }
 
-// catalogs returns the catalog of the tests as it was the newest at a time.
+// catalogs returns a full snapshot of the tests' catalog that was current at a time.
 func catalogs(asOf time.Time) knowledge.Part[catalog.Catalog] {
 	return knowledge.Part[catalog.Catalog]{Whole: true, Next: place(1), AsOf: asOf, Changes: []services.Change[catalog.Catalog]{{Value: &testCatalog}}}
 }
 
-// newRelay returns a relay that knows nothing yet.
+// newRelay returns a relay without a catalog or upstreams.
 func newRelay() *Relay {
 	return New(Options{
 		Bounds: setting.Bounds{
@@ -144,7 +144,7 @@
 	})
 }
 
-// start returns a router before some upstreams, and its relay.
+// start returns a router with some upstreams, and its relay.
 func start(t *testing.T, fakes ...*fake) (*httptest.Server, *Relay) {
 	t.Helper()
 	r := newRelay()
@@ -163,7 +163,8 @@
 	return s, r
 }
 
-// get asks a router and returns the status, the header and the body; the error is that of the body.
+// get sends a request to a router and returns the status, the header and the body; the error is
+// that of reading the body.
 func get(ctx context.Context, t *testing.T, s *httptest.Server, path string, header map[string]string) (int, http.Header, string, error) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.URL+path, nil)
@@ -196,21 +197,22 @@
 		script func(n int, head map[string]string, c net.Conn)
 		status int
 		body   string
-		// sent is the number of times that upstreams got the request.
+		// sent is the number of times that upstreams received the request.
 		sent int32
-		// retryAfter says that the answer tells when to come back; cut, that the answer must not look complete.
+		// retryAfter reports whether the answer has retry advice; cut reports whether the answer
+		// must look incomplete.
 		retryAfter, cut bool
 	}{
-		"a whole answer": {path: "/safe/x", script: func(_ int, h map[string]string, c net.Conn) { whole(c, h["Id"], "ok") }, status: 200, body: "ok", sent: 1},
+		"a whole answer": {path: "/safe/x", script: func(_ int, h map[string]string, c net.Conn) { writeAnswer(c, h["Id"], "ok") }, status: 200, body: "ok", sent: 1},
 		"a full upstream did not run it": {path: "/unsafe/x", script: func(n int, h map[string]string, c net.Conn) {
 			if n == 1 {
-				say(c, "HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
+				writef(c, "HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				return
 			}
-			whole(c, h["Id"], "ok")
+			writeAnswer(c, h["Id"], "ok")
 		}, status: 200, body: "ok", sent: 2},
 		"all full": {path: "/unsafe/x", script: func(_ int, _ map[string]string, c net.Conn) {
-			say(c, "HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
+			writef(c, "HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		}, status: 503, sent: 2, retryAfter: true},
 		"an unsafe request that broke off is not sent again": {path: "/unsafe/x", script: func(_ int, _ map[string]string, c net.Conn) { reset(c) }, status: 502, sent: 1},
 		"a safe one is": {path: "/safe/x", script: func(n int, h map[string]string, c net.Conn) {
@@ -218,62 +220,62 @@
 				reset(c)
 				return
 			}
-			whole(c, h["Id"], "ok")
+			writeAnswer(c, h["Id"], "ok")
 		}, status: 200, body: "ok", sent: 2},
 		"a failure of a safe request is tried elsewhere": {path: "/safe/x", script: func(n int, h map[string]string, c net.Conn) {
 			if n == 1 {
-				say(c, "HTTP/1.1 500 Broken\r\nId: %s\r\nContent-Length: 0\r\n\r\n", h["Id"])
+				writef(c, "HTTP/1.1 500 Broken\r\nId: %s\r\nContent-Length: 0\r\n\r\n", h["Id"])
 				return
 			}
-			whole(c, h["Id"], "ok")
+			writeAnswer(c, h["Id"], "ok")
 		}, status: 200, body: "ok", sent: 2},
 		"a failure is passed on if no other upstream runs it": {path: "/safe/x", script: func(n int, h map[string]string, c net.Conn) {
 			if n == 1 {
-				say(c, "HTTP/1.1 500 Broken\r\nId: %s\r\nContent-Length: 4\r\n\r\nwhy?", h["Id"])
+				writef(c, "HTTP/1.1 500 Broken\r\nId: %s\r\nContent-Length: 4\r\n\r\nwhy?", h["Id"])
 				return
 			}
-			say(c, "HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
+			writef(c, "HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		}, status: 500, body: "why?", sent: 2},
 		"a failure is passed on if the next breaks off": {path: "/safe/x", script: func(n int, h map[string]string, c net.Conn) {
 			if n == 1 {
-				say(c, "HTTP/1.1 500 Broken\r\nId: %s\r\nContent-Length: 4\r\n\r\nwhy?", h["Id"])
+				writef(c, "HTTP/1.1 500 Broken\r\nId: %s\r\nContent-Length: 4\r\n\r\nwhy?", h["Id"])
 				return
 			}
 			reset(c)
 		}, status: 500, body: "why?", sent: 2},
 		"a failure of an unsafe one is passed on": {path: "/unsafe/x", script: func(_ int, h map[string]string, c net.Conn) {
-			say(c, "HTTP/1.1 500 Broken\r\nId: %s\r\nContent-Length: 4\r\n\r\nwhy?", h["Id"])
+			writef(c, "HTTP/1.1 500 Broken\r\nId: %s\r\nContent-Length: 4\r\n\r\nwhy?", h["Id"])
 		}, status: 500, body: "why?", sent: 1},
 		"an answer to another request that comes first": {path: "/unsafe/x", script: func(_ int, h map[string]string, c net.Conn) {
-			whole(c, "other", "not yours")
-			whole(c, h["Id"], "ok")
+			writeAnswer(c, "other", "not yours")
+			writeAnswer(c, h["Id"], "ok")
 		}, status: 200, body: "ok", sent: 1},
 		"a body that is cut off": {path: "/unsafe/x", script: func(_ int, h map[string]string, c net.Conn) {
-			say(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 10\r\n\r\nhalf", h["Id"])
+			writef(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 10\r\n\r\nhalf", h["Id"])
 			_ = c.Close()
 		}, status: 502, sent: 1},
 		"a body without a length that is reset": {path: "/unsafe/x", script: func(_ int, h map[string]string, c net.Conn) {
-			say(c, "HTTP/1.1 200 OK\r\nId: %s\r\nConnection: close\r\n\r\nhalf", h["Id"])
+			writef(c, "HTTP/1.1 200 OK\r\nId: %s\r\nConnection: close\r\n\r\nhalf", h["Id"])
 			reset(c)
 		}, status: 502, sent: 1},
 		"bytes that are no answer": {path: "/unsafe/x", script: func(_ int, _ map[string]string, c net.Conn) {
-			say(c, "garbage\r\n\r\n")
+			writef(c, "garbage\r\n\r\n")
 			_ = c.Close()
 		}, status: 502, sent: 1},
 		"a stream that breaks off in an event is resumed after the last whole one": {path: "/stream/x", script: func(n int, h map[string]string, c net.Conn) {
 			if n == 1 {
-				say(c, "%s", streamHead+chunk(event(1)+event(2)+"id: 3\nda"))
+				writef(c, "%s", streamHead+chunk(event(1)+event(2)+"id: 3\nda"))
 				reset(c)
 				return
 			}
 			if h["Last"] != "2" {
-				say(c, "HTTP/1.1 400 Wrong\r\nContent-Length: 0\r\n\r\n")
+				writef(c, "HTTP/1.1 400 Wrong\r\nContent-Length: 0\r\n\r\n")
 				return
 			}
-			say(c, "%s", streamHead+chunk(event(3)+event(4))+"0\r\n\r\n")
+			writef(c, "%s", streamHead+chunk(event(3)+event(4))+"0\r\n\r\n")
 		}, status: 200, body: event(1) + event(2) + event(3) + event(4), sent: 2},
 		"a stream that breaks off twice does not look complete": {path: "/stream/x", script: func(_ int, _ map[string]string, c net.Conn) {
-			say(c, "%s", streamHead+chunk(event(1)))
+			writef(c, "%s", streamHead+chunk(event(1)))
 			reset(c)
 		}, status: 200, sent: 2, cut: true},
 		"silence until the deadline": {path: "/unsafe/x", header: map[string]string{"Patience": "150"}, script: func(int, map[string]string, net.Conn) {}, status: 504, sent: 1},
@@ -304,7 +306,7 @@
 	}
 }
 
-// TestFreshness checks what a router may say by a catalog of some age.
+// TestFreshness checks the answers of a router by the age of its catalog.
 func TestFreshness(t *testing.T) {
 	cases := map[string]struct {
 		age    time.Duration
@@ -322,7 +324,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := newFake(t, func(_ int, h map[string]string, conn net.Conn) { whole(conn, h["Id"], "ok") })
+			f := newFake(t, func(_ int, h map[string]string, conn net.Conn) { writeAnswer(conn, h["Id"], "ok") })
 			s, r := start(t, f)
 			bounds := r.opts.Bounds
 			bounds.KeepKeys = c.keep
@@ -343,9 +345,9 @@
 	}
 }
 
-// TestBornAgain checks that no request goes out on a connection to an earlier run of an upstream.
+// TestBornAgain checks that no request is sent on a connection to an earlier run of an upstream.
 func TestBornAgain(t *testing.T) {
-	f := newFake(t, func(_ int, h map[string]string, conn net.Conn) { whole(conn, h["Id"], "ok") })
+	f := newFake(t, func(_ int, h map[string]string, conn net.Conn) { writeAnswer(conn, h["Id"], "ok") })
 	s, r := start(t, f)
 	r.Know(func(k *knowledge.State) { k.TakeCatalogs(time.Now(), catalogs(time.Now())) })
 	for i, born := range []upstream.Born{0, 0, 200} {
@@ -368,7 +370,7 @@
 	}
 }
 
-// TestCallerLeaves checks that an upstream's connection is closed when the caller's is.
+// TestCallerLeaves checks that an upstream's connection is closed when the caller's connection is.
 func TestCallerLeaves(t *testing.T) {
 	begun := make(chan struct{})
 	f := newFake(t, func(int, map[string]string, net.Conn) { close(begun) })
@@ -388,10 +390,10 @@
 	}
 }
 
-// TestLeavingUpstream checks that the state of an upstream counts when a request is sent to it, not
-// when it was chosen.
+// TestLeavingUpstream checks that the state of an upstream is evaluated when a request is sent to
+// it, not only when it was chosen.
 func TestLeavingUpstream(t *testing.T) {
-	f := newFake(t, func(_ int, h map[string]string, c net.Conn) { whole(c, h["Id"], "ok") })
+	f := newFake(t, func(_ int, h map[string]string, c net.Conn) { writeAnswer(c, h["Id"], "ok") })
 	s, r := start(t, f)
 	r.Know(func(k *knowledge.State) {
 		u := upstream.Instance{ID: "u0", Service: "s", Address: f.address, Slots: 4, State: upstream.StateLeaving}
@@ -400,7 +402,7 @@
 		})
 	})
 	_, err := r.judgeSend(time.Now(), &exchange{r: r, service: "s"}, upstream.Instance{ID: "u0"})
-	if want := (ErrClosed{Upstream: "u0", Condition: condition.KindLeaving}); !errors.Is(err, want) {
+	if want := (ErrUnavailable{Upstream: "u0", Condition: condition.KindLeaving}); !errors.Is(err, want) {
 		t.Errorf("error %v, want %v", err, want)
 	}
 	if status, _, _, _ := get(t.Context(), t, s, "/safe/x", nil); status != http.StatusServiceUnavailable || f.got.Load() != 0 {
@@ -408,12 +410,12 @@
 	}
 }
 
-// TestLeave checks that a router which was told to stop goes on serving, says that the connection ends,
-// and after some time takes no more streams.
+// TestLeave checks that a router that was ordered to stop goes on serving, announces that the
+// connection closes, and after some time accepts no more streams.
 func TestLeave(t *testing.T) {
-	f := newFake(t, func(_ int, h map[string]string, c net.Conn) { whole(c, h["Id"], "ok") })
+	f := newFake(t, func(_ int, h map[string]string, c net.Conn) { writeAnswer(c, h["Id"], "ok") })
 	s, r := start(t, f)
-	r.Leave(time.Now().Add(-leaveStreams - time.Second))
+	r.Leave(time.Now().Add(-streamGrace - time.Second))
 	if status, _, body, _ := get(t.Context(), t, s, "/safe/x", nil); status != 200 || body != "ok" {
 		t.Errorf("status %d, body %q", status, body)
 	}
@@ -422,7 +424,8 @@
 	}
 }
 
-// TestTargets checks that the path of a request is what the caller wrote, and how hosts are compared.
+// TestTargets checks that the path of a request is kept as the caller wrote it, and how hosts are
+// compared.
 func TestTargets(t *testing.T) {
 	for target, want := range map[string]string{"/a/b?c=/d": "/a/b", "http://h/a?b": "/a", "/a%2Fb": "/a%2Fb"} {
 		if got := pathOf(target); got != want {
@@ -436,7 +439,8 @@
 	}
 }
 
-// TestUnreported checks that a request has the coordinators of a service's groups sought as long as there is a rank of which nobody tells.
+// TestUnreported checks that a request starts a search for the coordinators of a service's groups
+// as long as there is a rank without a reported load.
 func TestUnreported(t *testing.T) {
 	_, r := start(t, newFake(t, nil), newFake(t, nil))
 	now := time.Now()
@@ -449,26 +453,26 @@
 			addresses = append(addresses, u.Address)
 		}
 	})
-	sought := 0
-	r.OnUnreported(func(service.ID) { sought++ })
+	searches := 0
+	r.OnUnreported(func(service.ID) { searches++ })
 	steps := []struct {
-		what string
-		told []string
-		want int
+		what     string
+		reported []string
+		want     int
 	}{
 		{"nobody tells", nil, 1},
 		{"one group tells", addresses[:1], 1},
 		{"both groups tell", addresses, 0},
 	}
 	for _, s := range steps {
-		r.lane(now, "s").coverageAt = time.Time{}
-		for i, address := range s.told {
+		r.serviceState(now, "s").coverageAt = time.Time{}
+		for i, address := range s.reported {
 			r.Report(time.Now(), balance.Group{Service: "s", ID: group.ID(strconv.Itoa(i)), Open: true, Ranks: []balance.RankLoad{{Address: address}}})
 		}
-		sought = 0
+		searches = 0
 		x := &exchange{service: "s", route: &c.Routes[0], arrived: time.Now(), deadline: time.Now().Add(time.Second)}
-		if _, ok := r.acquire(t.Context(), x); !ok || sought != s.want {
-			t.Errorf("%s: let in: %t, sought %d times, want %d", s.what, ok, sought, s.want)
+		if _, ok := r.acquire(t.Context(), x); !ok || searches != s.want {
+			t.Errorf("%s: let in: %t, sought %d times, want %d", s.what, ok, searches, s.want)
 		}
 	}
 }
--- a/services/relay/stream.go
+++ b/services/relay/stream.go
@@ -21,21 +21,21 @@
 	"github.com/rs/zerolog"
 )
 
-// streamState is how far a stream has got.
+// streamState is the progress of a stream.
 type streamState struct {
-	// begun says that the head of an answer was passed on.
+	// begun reports whether the head of an answer was passed on.
 	begun bool
 	// lastEvent is the id of the latest event that was passed on.
 	lastEvent string
 	events    int
-	// first is when the first event was passed on, latest when the latest was; pause is the longest time
-	// between two, and pausedAt when that one ended.
+	// first and latest are when the first and the latest event were passed on. pause is the longest
+	// time between two events, and pausedAt is when that pause ended.
 	first, latest, pausedAt time.Time
 	pause                   time.Duration
 }
 
-// passed notes that an event was passed on.
-func (s *streamState) passed(now time.Time) {
+// recordEvent records that an event was passed on.
+func (s *streamState) recordEvent(now time.Time) {
 	if s.events++; s.events == 1 {
 		s.first, s.latest = now, now
 		return
@@ -46,7 +46,8 @@
 	s.latest = now
 }
 
-// log adds to a request's line when its stream began, and its longest pause with the time at which that ended.
+// log adds to a request's log line the time to the first event, the longest pause and the end of
+// that pause.
 func (s *streamState) log(e *zerolog.Event, arrived time.Time) {
 	if s.events == 0 {
 		return
@@ -63,26 +64,26 @@
 // errNoEvents reports a stream that ended before its first event.
 var errNoEvents = errors.New("stream ended without an event")
 
-// relayStream passes the events of an answer on as they come, each one whole. It returns false if the
-// stream broke off and another upstream should go on with it.
+// relayStream passes the events of an answer on as they arrive, each one complete. It returns false
+// if the stream broke and another upstream should continue it.
 func (x *exchange) relayStream(ctx context.Context, a *answer) bool {
 	err := x.relayEvents(a)
 	switch {
 	case err == nil:
-		x.r.noteRun(clock.Now(), x.key(), quarantine.Finished)
-		a.keep(x.r.conns)
+		x.r.recordRun(clock.Now(), x.key(), quarantine.Finished)
+		a.reuseConn(x.r.conns)
 		x.r.release(x.service, a.upstream, balance.ResultOK, clock.Since(a.began), a.started)
 		x.finish(http.StatusOK, ReasonAnswered)
 		return true
 	case x.req.Context().Err() != nil:
-		x.r.noteRun(clock.Now(), x.key(), a.lasted(a.latestAt))
+		x.r.recordRun(clock.Now(), x.key(), a.lasted(a.latestAt))
 		a.drop()
 		x.r.release(x.service, a.upstream, balance.ResultCancelled, clock.Since(a.began), a.started)
 		x.finish(http.StatusOK, ReasonCallerGone)
 		panic(http.ErrAbortHandler)
 	}
 	a.drop()
-	x.brokeOff(ctx, a, err)
+	x.recordBreak(ctx, a, err)
 	return false
 }
 
@@ -116,15 +117,15 @@
 		if err := out.Flush(); err != nil {
 			return fmt.Errorf("write to caller: %w", err)
 		}
-		x.stream.passed(clock.Now())
+		x.stream.recordEvent(clock.Now())
 		if id, ok := eventID(event); ok {
 			x.stream.lastEvent = id
 		}
 	}
 }
 
-// readEvent reads up to the empty line that ends an event. At the end of the stream it returns io.EOF
-// with nothing; an event that is cut off is io.ErrUnexpectedEOF.
+// readEvent reads up to the empty line that ends an event. At the end of the stream it returns
+// io.EOF without data; for a truncated event it returns io.ErrUnexpectedEOF.
 func readEvent(in *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -139,7 +140,7 @@
 		case errors.Is(err, io.EOF) && len(event) > 0:
 			return event, io.ErrUnexpectedEOF
 		case err != nil:
-			return event, err //nolint:wrapcheck // io.EOF must stay itself
+			return event, err //nolint:wrapcheck // io.EOF must not be wrapped
 		case len(bytes.TrimRight(line, "\r\n")) == 0:
 			return event, nil
 		}
--- a/services/relay/suspend_test.go
+++ b/services/relay/suspend_test.go
@@ -15,19 +15,19 @@
 	"fawnwinch.org/fawnwinch/services/knowledge"
 )
 
-// TestSuspended has the VM of a router suspended for longer than keys may be let in by an old catalog, and for longer than connections
-// rest. The steady clock does not count that time: by it the catalog was a second old when a key had been taken away for six, and a
-// connection that the upstream had long closed still seemed good for a request that may not be repeated. Such a router let keys in for
-// as long as it had been suspended beyond the limit, and lost requests:
+// TestSuspended suspends the VM of a router for longer than an old catalog may be used to accept
+// keys, and for longer than connections stay idle. A clock that does not count suspensions reports
+// the catalog as 1 s old when a key was revoked 6 s ago, and idle connections as usable that the
+// upstream has closed. The router then accepts revoked keys for as long as it was suspended beyond
+// the limit, and loses requests that may not be repeated. With such a clock the test logs:
 //
 //	event=answered catalog_age_ms=1005 reason=answered status=200
-//
-// came out of this test before the clock counted suspensions.
 func TestSuspended(t *testing.T) {
 	cases := map[string]struct {
 		suspended time.Duration
-		// told says that the router is told right afterwards that its catalog is the newest.
-		told        bool
+		// confirmed reports whether the router learns right after the suspension that its catalog
+		// is the newest.
+		confirmed   bool
 		status      int
 		connections uint64
 	}{
@@ -38,7 +38,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			vm := clocktest.New(t)
-			f := newFake(t, func(_ int, h map[string]string, conn net.Conn) { whole(conn, h["Id"], "ok") })
+			f := newFake(t, func(_ int, h map[string]string, conn net.Conn) { writeAnswer(conn, h["Id"], "ok") })
 			s, r := start(t, f)
 			r.Know(func(k *knowledge.State) {
 				*k = *knowledge.New(time.Minute)
@@ -52,7 +52,7 @@
 				t.Fatalf("status %d before", status)
 			}
 			vm.Suspend(c.suspended)
-			if c.told {
+			if c.confirmed {
 				r.Know(func(k *knowledge.State) { k.TakeCatalogs(time.Now(), catalogs(clock.Now())) })
 			}
 			if status, _, _, _ := get(t.Context(), t, s, "/unsafe/x", nil); status != c.status {
