--- a/services/quarantine/entry.go
+++ b/services/quarantine/entry.go
@@ -9,20 +9,22 @@
 	"fawnwinch.org/fawnwinch/models/request"
 )
 
-// Entry is what is kept in the platform's store of a refused request, so that it is known after a loss of all routers.
+// Entry is the stored form of a refused request. The platform's store keeps it, so that the refusal
+// survives the loss of all routers.
 type Entry struct {
 	Key Key
-	// At is when the ages of the crashes were taken.
+	// At is the time at which the ages of the crashes were computed.
 	At      time.Time
 	Crashes []Crash
 }
 
-// Name returns the key of the entry in the store. Names of client accounts are too long for one.
+// Name returns the key of the entry in the store. It is a digest, as names of client accounts are
+// too long for a store key.
 func (e Entry) Name() string {
 	return request.NewDigest([]byte(e.Key.Account), e.Key.Digest.String()).String()
 }
 
-// Refused returns an entry for each request that is refused.
+// Refused returns an entry for each refused request.
 func (r *Register) Refused(now time.Time) []Entry {
 	var out []Entry
 	for k, rec := range r.records {
@@ -31,14 +33,15 @@
 		}
 		e := Entry{Key: k, At: now}
 		for run, c := range rec.crashes {
-			e.Crashes = append(e.Crashes, c.told(now, k, run))
+			e.Crashes = append(e.Crashes, c.export(now, k, run))
 		}
 		out = append(out, e)
 	}
 	return out
 }
 
-// Restore takes in an entry. The clocks of two VMs may differ: an entry of the future is one of now.
+// Restore adds the crashes of an entry to the register. The clocks of two VMs may differ: an entry
+// from the future is treated as written now.
 func (r *Register) Restore(now time.Time, e Entry) {
 	for _, c := range e.Crashes {
 		c.Key = e.Key
--- a/services/quarantine/register.go
+++ b/services/quarantine/register.go
@@ -13,41 +13,42 @@
 )
 
 const (
-	// maxKeys bounds the requests of which ends are known, some 300 bytes each. The one whose latest end is the oldest goes first.
+	// maxKeys bounds the requests with recorded crashes, at some 300 bytes each. The request whose
+	// latest crash is the oldest is evicted first.
 	maxKeys = 1024
-	// maxCrashes bounds the ends that are kept of one request: more say nothing more.
+	// maxCrashes bounds the crashes kept for one request: more do not change the verdict.
 	maxCrashes = 16
-	// together is how far apart upstreams may end that end at about the same time.
-	together = 500 * time.Millisecond
-	// maxRuns bounds the runs that are remembered because they speak for requests of which no end is known yet: another router may
-	// tell of one later. They are remembered for runLife.
-	maxRuns = 2048
-	runLife = time.Minute
+	// simultaneousWindow is the longest time between crashes that count as simultaneous.
+	simultaneousWindow = 500 * time.Millisecond
+	// maxRuns bounds the runs that are remembered because they clear requests without a recorded
+	// crash so far: another router may report one later. They are remembered for runRetention.
+	maxRuns      = 2048
+	runRetention = time.Minute
 )
 
-// crash is an end as a register keeps it.
+// crash is a crash as stored in a register.
 type crash struct {
 	sent, at time.Time
 	lasted   time.Duration
 	cleared  bool
-	// changed numbers the latest change of it.
-	changed peer.Position
+	// changedAt is the register's position of the latest change to this crash.
+	changedAt peer.Position
 }
 
-// record is what a register keeps of one request.
+// record holds the crashes of one request.
 type record struct {
 	crashes map[upstream.Run]*crash
 	latest  time.Time
 }
 
-// run is the longest run that is remembered of a request.
+// run is the longest remembered run of a request.
 type run struct {
 	lasted time.Duration
 	at     time.Time
 }
 
-// Register holds what one router knows of upstreams that ended in the middle of requests, by its own requests and by what others
-// tell. It is not safe for use by several goroutines.
+// Register records which upstreams ended while requests were in flight, as seen by this router or
+// reported by others. It is not safe for concurrent use.
 type Register struct {
 	start    uint64
 	position peer.Position
@@ -55,17 +56,18 @@
 	runs     map[Key]run
 }
 
-// NewRegister returns an empty register, begun at a time.
+// NewRegister returns an empty register, created at now.
 func NewRegister(now time.Time) *Register {
 	return &Register{start: uint64(max(now.UnixNano(), 1)), records: map[Key]*record{}, runs: map[Key]run{}}
 }
 
-// Mark returns how far the register has come.
+// Mark returns the register's current watermark.
 func (r *Register) Mark() peer.Mark { return peer.Mark{Start: r.start, Position: r.position} }
 
-// Add takes in an end that this router has seen or that another one tells, and reports whether that is something new.
+// Add adds a crash that this router has seen or another one has reported. It reports whether the
+// register changed.
 func (r *Register) Add(now time.Time, c Crash) bool {
-	if c.Age >= forgottenAfter {
+	if c.Age >= retention {
 		return false
 	}
 	at := now.Add(-max(c.Age, 0))
@@ -85,14 +87,14 @@
 	case known.cleared || !c.Cleared:
 		return false
 	}
-	known.cleared = known.cleared || c.Cleared || known.lasted < r.spoken(now, c.Key)
-	r.changed(known)
-	r.bound()
+	known.cleared = known.cleared || c.Cleared || known.lasted < r.clearedBelow(now, c.Key)
+	r.touch(known)
+	r.evict()
 	return true
 }
 
-// makeRoom drops the oldest end of a request if there are too many, and reports whether there is room for one at a time: not if it is
-// older than all.
+// makeRoom evicts the oldest crash of a request if there are too many. It reports whether a crash
+// at the given time may be added: not if it is older than all others.
 func (rec *record) makeRoom(at time.Time) bool {
 	if len(rec.crashes) < maxCrashes {
 		return true
@@ -107,19 +109,20 @@
 	return true
 }
 
-// spoken returns how long an end may have lasted that a remembered run of the request clears; 0 if there is none.
-func (r *Register) spoken(now time.Time, k Key) time.Duration {
+// clearedBelow returns the duration below which crashes of a request are cleared by its remembered
+// run; 0 if there is none.
+func (r *Register) clearedBelow(now time.Time, k Key) time.Duration {
 	known, ok := r.runs[k]
-	if !ok || now.Sub(known.at) > runLife {
+	if !ok || now.Sub(known.at) > runRetention {
 		return 0
 	}
-	return known.lasted - outlived
+	return known.lasted - clearMargin
 }
 
-// Ran notes that an upstream has lived on while it ran a request, and for how long its answer has been coming; Finished if it came
-// to its end. It reports whether that clears an end.
+// Ran records that an upstream kept running while it ran a request, and for how long its answer has
+// been arriving; Finished if the answer is complete. It reports whether that clears a crash.
 func (r *Register) Ran(now time.Time, k Key, lasted time.Duration) bool {
-	if known := r.runs[k]; lasted >= known.lasted || now.Sub(known.at) > runLife {
+	if known := r.runs[k]; lasted >= known.lasted || now.Sub(known.at) > runRetention {
 		r.runs[k] = run{lasted: lasted, at: now}
 	}
 	if len(r.runs) > maxRuns {
@@ -131,9 +134,9 @@
 	}
 	cleared := false
 	for _, c := range rec.crashes {
-		if !c.cleared && c.lasted < lasted-outlived {
+		if !c.cleared && c.lasted < lasted-clearMargin {
 			c.cleared, cleared = true, true
-			r.changed(c)
+			r.touch(c)
 		}
 	}
 	return cleared
@@ -150,25 +153,26 @@
 	maps.DeleteFunc(r.runs, func(_ Key, known run) bool { return now.Sub(known.at) >= middle })
 }
 
-// Judge tells how to treat a request.
+// Judge returns the verdict on a request.
 func (r *Register) Judge(now time.Time, k Key) Verdict {
 	rec, ok := r.records[k]
-	if !ok || len(rec.crashes) < watchedFrom {
+	if !ok || len(rec.crashes) < watchThreshold {
 		return Verdict{Standing: StandingFree}
 	}
-	n, until := r.weight(rec), rec.latest.Add(refusedFor)
+	n, until := r.weight(rec), rec.latest.Add(refusalDuration)
 	switch {
-	case n < watchedFrom || now.Sub(rec.latest) >= forgottenAfter:
+	case n < watchThreshold || now.Sub(rec.latest) >= retention:
 		return Verdict{Standing: StandingFree}
-	case n < refusedFrom || !now.Before(until):
+	case n < refuseThreshold || !now.Before(until):
 		return Verdict{Standing: StandingWatched}
 	}
 	return Verdict{Standing: StandingRefused, Until: until}
 }
 
-// weight tells how much the ends that are not cleared speak against a request: 1 for each that came after the one before, under a
-// try that was sent later. Ends of tries that ran side by side count as one, because a rack that loses power ends many whatever
-// runs there; but as two if all upstreams that ended then ran the request.
+// weight returns how strongly the uncleared crashes incriminate a request: 1 for each crash of an
+// attempt that was sent after the crash before. Crashes of attempts that ran concurrently count as
+// one, because a rack that loses power ends many upstreams whatever runs there. They count as two
+// if all upstreams that ended then ran the request.
 func (r *Register) weight(rec *record) int {
 	var ends []*crash
 	for _, c := range rec.crashes {
@@ -184,7 +188,7 @@
 			n++
 		}
 		weight++
-		if n > 1 && r.alone(rec, ends[0].at, ends[n-1].at) {
+		if n > 1 && r.ranOnAll(rec, ends[0].at, ends[n-1].at) {
 			weight++
 		}
 		ends = ends[n:]
@@ -192,9 +196,10 @@
 	return weight
 }
 
-// alone reports whether every upstream that ended at about a time ran one request.
-func (r *Register) alone(rec *record, from, to time.Time) bool {
-	from, to = from.Add(-together), to.Add(together)
+// ranOnAll reports whether all upstreams with crashes between from and to, within
+// simultaneousWindow, ran the request of the record.
+func (r *Register) ranOnAll(rec *record, from, to time.Time) bool {
+	from, to = from.Add(-simultaneousWindow), to.Add(simultaneousWindow)
 	for _, other := range r.records {
 		for run, c := range other.crashes {
 			if _, ok := rec.crashes[run]; !ok && !c.at.Before(from) && !c.at.After(to) {
@@ -205,7 +210,8 @@
 	return true
 }
 
-// Since returns what has changed after a mark of this register, and all there is for one of another.
+// Since returns the crashes that changed after a watermark of this register, or all of them for a
+// watermark of another register.
 func (r *Register) Since(now time.Time, m peer.Mark) []Crash {
 	if m.Start != r.start {
 		m.Position = 0
@@ -213,27 +219,27 @@
 	var out []Crash
 	for k, rec := range r.records {
 		for u, c := range rec.crashes {
-			if c.changed > m.Position {
-				out = append(out, c.told(now, k, u))
+			if c.changedAt > m.Position {
+				out = append(out, c.export(now, k, u))
 			}
 		}
 	}
 	return out
 }
 
-// told returns an end as it is told to others.
-func (c *crash) told(now time.Time, k Key, run upstream.Run) Crash {
+// export returns a crash in the form that is sent to other routers.
+func (c *crash) export(now time.Time, k Key, run upstream.Run) Crash {
 	return Crash{Key: k, Run: run, Ran: c.at.Sub(c.sent), Lasted: c.lasted, Age: now.Sub(c.at), Cleared: c.cleared}
 }
 
-// Sweep forgets what is too old.
+// Sweep drops expired records and runs.
 func (r *Register) Sweep(now time.Time) {
-	maps.DeleteFunc(r.records, func(_ Key, rec *record) bool { return now.Sub(rec.latest) >= forgottenAfter })
-	maps.DeleteFunc(r.runs, func(_ Key, known run) bool { return now.Sub(known.at) > runLife })
+	maps.DeleteFunc(r.records, func(_ Key, rec *record) bool { return now.Sub(rec.latest) >= retention })
+	maps.DeleteFunc(r.runs, func(_ Key, known run) bool { return now.Sub(known.at) > runRetention })
 }
 
-// bound drops the request whose latest end is the oldest if there are too many.
-func (r *Register) bound() {
+// evict drops the request whose latest crash is the oldest if there are too many.
+func (r *Register) evict() {
 	if len(r.records) <= maxKeys {
 		return
 	}
@@ -243,10 +249,10 @@
 	delete(r.records, oldest)
 }
 
-// changed numbers a change.
-func (r *Register) changed(c *crash) {
+// touch assigns the next position to a changed crash.
+func (r *Register) touch(c *crash) {
 	r.position++
-	c.changed = r.position
+	c.changedAt = r.position
 }
 
 func latest(a, b time.Time) time.Time {
--- a/services/quarantine/register_test.go
+++ b/services/quarantine/register_test.go
@@ -14,22 +14,22 @@
 	"fawnwinch.org/fawnwinch/services/peer"
 )
 
-// begun is when the tests begin.
-var begun = time.Unix(1_800_000_000, 0)
+// testStart is the time at which the tests start.
+var testStart = time.Unix(1_800_000_000, 0)
 
-// step is what a register is told at a time.
+// step is an event that is recorded in a register at a time.
 type step struct {
 	at time.Duration
-	// crash is the upstream that ended, after the request had run for so long and the answer had been coming for lasted; lives says
-	// that none ended.
+	// crash is the upstream that ended; ran and lasted are Ran and Lasted of its Crash. survived
+	// reports that no upstream ended.
 	crash       upstream.ID
 	ran, lasted time.Duration
-	lives       bool
-	// other says that another request ran there.
+	survived    bool
+	// other reports whether another request ran there.
 	other bool
 }
 
-// TestJudge checks from when on a request is watched and refused, and what speaks for it.
+// TestJudge checks from which crashes on a request is watched and refused, and what clears it.
 func TestJudge(t *testing.T) {
 	second := time.Second
 	cases := map[string]struct {
@@ -55,46 +55,46 @@
 		"it ran at all that ended together": {[]step{{crash: "a", ran: second}, {crash: "b", ran: second}, {crash: "c", ran: second}}, second, StandingWatched},
 		"and so it did again":               {[]step{{crash: "a", ran: second}, {crash: "b", ran: second}, {at: 5 * second, crash: "c", ran: second}}, 6 * second, StandingRefused},
 		"the same end told again":           {[]step{{crash: "a"}, {at: second, crash: "a"}, {at: 2 * second, crash: "a"}}, 3 * second, StandingFree},
-		"an answer clears all before":       {[]step{{crash: "a"}, {at: 5 * second, crash: "b"}, {at: 6 * second, lives: true, lasted: Finished}, {at: 9 * second, crash: "c"}}, 10 * second, StandingFree},
-		"an answer clears what comes soon":  {[]step{{lives: true, lasted: Finished}, {crash: "a"}, {at: 5 * second, crash: "b"}, {at: 9 * second, crash: "c"}}, 10 * second, StandingFree},
-		"but not for long":                  {[]step{{lives: true, lasted: Finished}, {at: 61 * second, crash: "a"}, {at: 65 * second, crash: "b"}, {at: 69 * second, crash: "c"}}, 70 * second, StandingRefused},
-		"a longer run clears":               {[]step{{crash: "a", lasted: second}, {at: 5 * second, crash: "b", lasted: second}, {at: 6 * second, lives: true, lasted: 2 * second}}, 7 * second, StandingFree},
-		"a run as long does not":            {[]step{{crash: "a", lasted: second}, {at: 5 * second, crash: "b", lasted: second}, {at: 6 * second, lives: true, lasted: second}}, 7 * second, StandingWatched},
-		"after some time it is watched":     {[]step{{crash: "a"}, {at: 5 * second, crash: "b"}, {at: 9 * second, crash: "c"}}, 9*second + refusedFor, StandingWatched},
-		"and forgotten in the end":          {[]step{{crash: "a"}, {at: 5 * second, crash: "b"}, {at: 9 * second, crash: "c"}}, 9*second + forgottenAfter, StandingFree},
+		"an answer clears all before":       {[]step{{crash: "a"}, {at: 5 * second, crash: "b"}, {at: 6 * second, survived: true, lasted: Finished}, {at: 9 * second, crash: "c"}}, 10 * second, StandingFree},
+		"an answer clears what comes soon":  {[]step{{survived: true, lasted: Finished}, {crash: "a"}, {at: 5 * second, crash: "b"}, {at: 9 * second, crash: "c"}}, 10 * second, StandingFree},
+		"but not for long":                  {[]step{{survived: true, lasted: Finished}, {at: 61 * second, crash: "a"}, {at: 65 * second, crash: "b"}, {at: 69 * second, crash: "c"}}, 70 * second, StandingRefused},
+		"a longer run clears":               {[]step{{crash: "a", lasted: second}, {at: 5 * second, crash: "b", lasted: second}, {at: 6 * second, survived: true, lasted: 2 * second}}, 7 * second, StandingFree},
+		"a run as long does not":            {[]step{{crash: "a", lasted: second}, {at: 5 * second, crash: "b", lasted: second}, {at: 6 * second, survived: true, lasted: second}}, 7 * second, StandingWatched},
+		"after some time it is watched":     {[]step{{crash: "a"}, {at: 5 * second, crash: "b"}, {at: 9 * second, crash: "c"}}, 9*second + refusalDuration, StandingWatched},
+		"and forgotten in the end":          {[]step{{crash: "a"}, {at: 5 * second, crash: "b"}, {at: 9 * second, crash: "c"}}, 9*second + retention, StandingFree},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := NewRegister(begun)
+			r := NewRegister(testStart)
 			k := Key{Account: "x", Digest: 1}
 			for _, s := range c.steps {
-				if s.lives {
-					r.Ran(begun.Add(s.at), k, s.lasted)
+				if s.survived {
+					r.Ran(testStart.Add(s.at), k, s.lasted)
 					continue
 				}
-				told := k
+				key := k
 				if s.other {
-					told.Digest++
+					key.Digest++
 				}
-				r.Add(begun.Add(s.at), Crash{Key: told, Run: upstream.Run{ID: s.crash}, Ran: s.ran, Lasted: s.lasted})
+				r.Add(testStart.Add(s.at), Crash{Key: key, Run: upstream.Run{ID: s.crash}, Ran: s.ran, Lasted: s.lasted})
 			}
-			r.Sweep(begun.Add(c.at))
-			if got := r.Judge(begun.Add(c.at), k); got.Standing != c.want {
+			r.Sweep(testStart.Add(c.at))
+			if got := r.Judge(testStart.Add(c.at), k); got.Standing != c.want {
 				t.Errorf("%s, want %s", got.Standing, c.want)
 			}
-			if got := r.Judge(begun.Add(c.at), Key{Account: "y", Digest: 1}); got.Standing != StandingFree {
+			if got := r.Judge(testStart.Add(c.at), Key{Account: "y", Digest: 1}); got.Standing != StandingFree {
 				t.Errorf("the same content of another account is %s", got.Standing)
 			}
 		})
 	}
 }
 
-// TestTold checks that registers that tell each other what is new agree in the end, whatever the order, and that what clears a request
-// is not undone.
+// TestTold checks that registers that exchange their changes converge in any order, and that a
+// request stays cleared.
 func TestTold(t *testing.T) {
 	for seed := range uint64(200) {
 		chance := rand.New(rand.NewPCG(seed, 0))
-		now := begun
+		now := testStart
 		var all [3]*Register
 		var seen [3][3]peer.Mark
 		for i := range all {
@@ -137,15 +137,16 @@
 	}
 }
 
-// TestBounds checks that a register keeps the latest requests only, and that a router which starts again is told all.
+// TestBounds checks that a register keeps only the latest requests, and sends all of them to a
+// router that restarts.
 func TestBounds(t *testing.T) {
-	r := NewRegister(begun)
+	r := NewRegister(testStart)
 	for i := range 2 * maxKeys {
-		now := begun.Add(time.Duration(i) * time.Millisecond)
+		now := testStart.Add(time.Duration(i) * time.Millisecond)
 		r.Add(now, Crash{Key: Key{Digest: request.Digest(i)}, Run: upstream.Run{ID: "a"}})
 		r.Ran(now, Key{Digest: request.Digest(10*maxKeys + i)}, Finished)
 	}
-	now := begun.Add(time.Hour / 60)
+	now := testStart.Add(time.Hour / 60)
 	if got := len(r.Since(now, peer.Mark{Start: 1, Position: 1 << 40})); got != maxKeys {
 		t.Errorf("%d requests are told to one that knows another register, want %d", got, maxKeys)
 	}
@@ -157,14 +158,15 @@
 	}
 }
 
-// TestRestore checks that a request which is kept is refused again by a register that knows nothing, for as long as it would have been.
+// TestRestore checks that an empty register refuses a restored request for as long as the original
+// register would have.
 func TestRestore(t *testing.T) {
 	k := Key{Account: "x", Digest: 1}
-	first := NewRegister(begun)
-	for i := range refusedFrom {
-		first.Add(begun.Add(time.Duration(i)*time.Second), Crash{Key: k, Run: upstream.Run{ID: upstream.ID(fmt.Sprint(i))}, Ran: 100 * time.Millisecond})
+	first := NewRegister(testStart)
+	for i := range refuseThreshold {
+		first.Add(testStart.Add(time.Duration(i)*time.Second), Crash{Key: k, Run: upstream.Run{ID: upstream.ID(fmt.Sprint(i))}, Ran: 100 * time.Millisecond})
 	}
-	kept := begun.Add(5 * time.Second)
+	kept := testStart.Add(5 * time.Second)
 	entries := first.Refused(kept)
 	if len(entries) != 1 {
 		t.Fatalf("%d entries, want 1", len(entries))
@@ -175,9 +177,9 @@
 	}{
 		"at once":                       {0, StandingRefused},
 		"by a clock that is behind":     {-time.Minute, StandingRefused},
-		"before its time is over":       {refusedFor / 2, StandingRefused},
-		"after its time is over":        {refusedFor, StandingWatched},
-		"after everything is forgotten": {forgottenAfter, StandingFree},
+		"before its time is over":       {refusalDuration / 2, StandingRefused},
+		"after its time is over":        {refusalDuration, StandingWatched},
+		"after everything is forgotten": {retention, StandingFree},
 	} {
 		now := kept.Add(c.after)
 		r := NewRegister(now)
