--- a/services/dispatch/attempt.go
+++ b/services/dispatch/attempt.go
@@ -18,37 +18,38 @@
 	"fawnwinch.org/fawnwinch/services/once"
 )
 
-// kind tells how one attempt ended.
+// kind classifies the end of one attempt.
 type kind string
 
 const (
-	// kindAnswered is a whole answer.
+	// kindAnswered is a complete answer.
 	kindAnswered kind = "answered"
-	// kindNotRun is an agent's word that the request has not run.
+	// kindNotRun means that an agent reported that the request has not run.
 	kindNotRun kind = "not-run"
-	// kindNotSent means that no connection came about: the request has not run.
+	// kindNotSent means that no connection could be made: the request has not run.
 	kindNotSent kind = "not-sent"
-	// kindUnknown is an agent's word that the request may have run.
+	// kindUnknown means that an agent reported that the request may have run.
 	kindUnknown kind = "unknown"
-	// kindCut means that the connection broke or the answer was not whole.
+	// kindCut means that the connection broke or the answer was incomplete.
 	kindCut kind = "cut"
-	// kindGone means that the caller went away or its time is over.
+	// kindGone means that the caller disconnected or its deadline has passed.
 	kindGone kind = "gone"
 )
 
-// attemptOptions are the marks of one attempt.
+// attemptOptions are the parameters of one attempt.
 type attemptOptions struct {
-	// once marks a request that may not be repeated; slice and epoch say whom it is meant for.
+	// once marks a request that may not be repeated; slice and epoch identify the owner that it is
+	// sent to.
 	once  bool
 	slice request.Slice
 	epoch once.Epoch
-	// ask says that the request must not run now: it asks what became of an earlier attempt.
+	// ask marks a query for the outcome of an earlier attempt: the request must not run now.
 	ask    bool
 	logAge time.Duration
 	body   []byte
 }
 
-// attemptEnd is the end of one attempt.
+// attemptEnd is the outcome of one attempt.
 type attemptEnd struct {
 	kind        kind
 	reason      string
@@ -58,7 +59,8 @@
 	retryAfter  time.Duration
 }
 
-// broke reports whether the upstream, its agent or the way there broke off while the request may have run.
+// broke reports whether the upstream, its agent or the connection to it failed while the request
+// may have run.
 func (a attemptEnd) broke() bool { return a.kind == kindCut || a.kind == kindUnknown }
 
 func (a attemptEnd) result(n int, e membership.Entry) Result {
@@ -77,7 +79,7 @@
 	return r
 }
 
-// attempt sends a request to one agent and reads the whole answer.
+// attempt sends a request to one agent and reads the complete answer.
 func (d *Dispatcher) attempt(ctx context.Context, e membership.Entry, r *Request, o attemptOptions) attemptEnd {
 	resp, end := d.open(ctx, e, r, o)
 	if resp == nil {
@@ -93,7 +95,8 @@
 	return end
 }
 
-// open sends a request and returns the answer's head, or how the attempt ended without one.
+// open sends a request and returns the response once its head has been read, or the outcome of an
+// attempt that got no response.
 func (d *Dispatcher) open(ctx context.Context, e membership.Entry, r *Request, o attemptOptions) (*http.Response, attemptEnd) {
 	body := r.Body
 	if o.body != nil {
@@ -127,13 +130,13 @@
 	return attemptEnd{kind: kindCut, reason: ReasonCut + ": " + err.Error()}
 }
 
-// Headers that only routers and agents use.
+// Headers that are used only between routers and agents.
 const (
 	// HeaderAsk marks a request that must not run now.
 	HeaderAsk = "Fawnwinch-Ask"
-	// HeaderEpoch carries the epoch of the owner a request is meant for.
+	// HeaderEpoch carries the epoch of the owner that a request is sent to.
 	HeaderEpoch = "Fawnwinch-Epoch"
-	// HeaderLogAge carries how long the log has been out of the router's reach, in milliseconds.
+	// HeaderLogAge carries how long the router has been unable to reach the log, in milliseconds.
 	HeaderLogAge = "Fawnwinch-Log-Age-Ms"
 )
 
@@ -163,7 +166,7 @@
 	}
 }
 
-// classify reads the head of an agent's answer.
+// classify derives the outcome of an attempt from the head of an agent's answer.
 func classify(resp *http.Response, id request.ID) attemptEnd {
 	end := attemptEnd{
 		status: resp.StatusCode, contentType: resp.Header.Get("Content-Type"),
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package dispatch carries a caller's request to an upstream and its answer back. It is the only
-// layer that retries.
+// Package dispatch forwards a caller's request to an upstream and returns its answer. It is the
+// only layer that retries.
 package dispatch
 
 import (
@@ -36,16 +36,16 @@
 	ContentType string
 	Priority    string
 	Body        []byte
-	// Key is the caller's idempotency key, if it gave one.
+	// Key is the caller's idempotency key, if it sent one.
 	Key request.Key
 	// Once marks a request that may not be repeated.
 	Once     bool
 	Deadline time.Time
-	// Stream says that the answer is a stream of tokens.
+	// Stream reports whether the answer is a stream of tokens.
 	Stream bool
 }
 
-// Result is the end of a request. For a streamed answer the body has gone to the Sink.
+// Result is the outcome of a request. The body of a streamed answer is written to the Sink instead.
 type Result struct {
 	Outcome     request.Outcome
 	Reason      string
@@ -57,13 +57,14 @@
 	Attempts    int
 }
 
-// Sink takes the parts of a streamed answer.
+// Sink receives the events of a streamed answer.
 type Sink interface {
-	// Part passes one event of the stream on. It returns an error if the caller is gone.
+	// Part sends one event of the stream to the caller. It returns an error if the caller has
+	// disconnected.
 	Part(event []byte) error
 }
 
-// Reasons that callers see.
+// Reasons that are returned to callers.
 const (
 	ReasonNoUpstream = "no-upstream"
 	ReasonDeadline   = "deadline"
@@ -75,16 +76,17 @@
 const (
 	// maxAttempts bounds the attempts of one request.
 	maxAttempts = 4
-	// maxCuts is the number of upstreams that may break off while they run a request before it is not sent again: one is most often
-	// chance, two may mean that the request crashes whatever runs it.
+	// maxCuts is the number of upstreams that may fail while they run a request before it is not
+	// sent again: one failure is most often chance, two may mean that the request crashes every
+	// upstream that runs it.
 	maxCuts = 2
 	// dialTimeout bounds a connection attempt to an agent.
 	dialTimeout = 500 * time.Millisecond
-	// defaultRetryAfter is the advice when nothing better is known.
+	// defaultRetryAfter is the retry advice if an answer contains none.
 	defaultRetryAfter = time.Second
 )
 
-// Dispatcher carries requests. It is safe for use by several goroutines.
+// Dispatcher forwards requests. It is safe for concurrent use.
 type Dispatcher struct {
 	dir    *directory.Directory
 	client *http.Client
@@ -102,10 +104,10 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (d *Dispatcher) Close() { d.client.CloseIdleConnections() }
 
-// Do carries a request to its end. The sink is used for streamed answers only.
+// Do forwards a request until it has an outcome. The sink is used for streamed answers only.
 func (d *Dispatcher) Do(ctx context.Context, r *Request, sink Sink) Result {
 	ctx, cancel := clock.WithDeadline(ctx, r.Deadline)
 	defer cancel()
@@ -116,7 +118,7 @@
 	case r.Stream:
 		res = d.doStream(ctx, r, sink)
 	default:
-		res = d.doWhole(ctx, r)
+		res = d.doBuffered(ctx, r)
 	}
 	if res.Outcome == request.OutcomeAnswered {
 		d.mu.Lock()
@@ -134,8 +136,8 @@
 	return d.budget.Take()
 }
 
-// doWhole carries a request that may be repeated and has an unstreamed answer.
-func (d *Dispatcher) doWhole(ctx context.Context, r *Request) Result {
+// doBuffered forwards a request that may be repeated and has an unstreamed answer.
+func (d *Dispatcher) doBuffered(ctx context.Context, r *Request) Result {
 	tried := map[upstream.ID]bool{}
 	last := Result{Outcome: request.OutcomeNotRun, Reason: ReasonNoUpstream}
 	cuts := 0
@@ -162,7 +164,7 @@
 	return last
 }
 
-// next picks an upstream that was not tried; when all were tried it begins again.
+// next picks an upstream that was not tried yet, or any upstream when all were tried.
 func (d *Dispatcher) next(r *Request, tried map[upstream.ID]bool) (membership.Entry, bool) {
 	now := clock.Now()
 	e, ok := d.dir.Pick(now, r.Service, tried)
@@ -187,12 +189,12 @@
 	})
 }
 
-// jitter returns a pause of between half of d and d.
+// jitter returns a random pause between half of d and d.
 func jitter(d time.Duration) time.Duration {
-	return d/2 + rand.N(d/2+1) //nolint:gosec // no secret
+	return d/2 + rand.N(d/2+1) //nolint:gosec // not used for secrets
 }
 
-// pause waits for a time or the end of ctx.
+// pause waits for a jittered d or the end of ctx.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(jitter(d))
 	defer t.Stop()
--- a/services/dispatch/once.go
+++ b/services/dispatch/once.go
@@ -16,45 +16,46 @@
 )
 
 const (
-	// ownerPause is the time between two looks for the owner of a slice.
-	ownerPause = 60 * time.Millisecond
-	// ownerPatience is how long a request waits for a slice to change hands before it is given up.
-	ownerPatience = 6 * time.Second
+	// ownerRetryInterval is the time between two attempts to find the owner of a slice.
+	ownerRetryInterval = 60 * time.Millisecond
+	// ownerTimeout is how long a request waits for a slice to change hands before it is aborted.
+	ownerTimeout = 6 * time.Second
 )
 
-// doOnce carries a request that may not be repeated to the owner of its key. While it is sure that
-// the key has not run for this request it tries again at whoever owns the slice; after an attempt
-// that broke off it only asks what became of it.
+// doOnce forwards a request that may not be repeated to the owner of its key. While it is certain
+// that the key has not run for this request, it retries at the current owner of the slice. After an
+// attempt that broke off it only queries the outcome of that attempt.
 func (d *Dispatcher) doOnce(ctx context.Context, r *Request) Result {
 	slice := request.SliceOf(r.Account, r.Key, once.Slices)
 	last := Result{Outcome: request.OutcomeNotRun, Reason: ReasonNoOwner}
 	ask := false
-	giveUp := clock.Now().Add(ownerPatience)
-	for n := 1; ctx.Err() == nil && clock.Now().Before(giveUp); n++ {
-		own, err := d.dir.Owner(clock.Now(), r.Service.ID, slice, once.NewKeyID(r.Account, r.Key))
+	deadline := clock.Now().Add(ownerTimeout)
+	for n := 1; ctx.Err() == nil && clock.Now().Before(deadline); n++ {
+		owner, err := d.dir.Owner(clock.Now(), r.Service.ID, slice, once.NewKeyID(r.Account, r.Key))
 		if errors.Is(err, directory.ErrLogOut) {
-			// No slice changes hands while the log is out: waiting is no use.
+			// No slice changes hands while the log is unreachable: waiting cannot help.
 			return late(last, ask)
 		}
 		if err != nil {
-			pause(ctx, ownerPause)
+			pause(ctx, ownerRetryInterval)
 			continue
 		}
-		end := d.attemptOnce(ctx, own.Entry, r, attemptOptions{once: true, slice: slice, epoch: own.Epoch, ask: ask, logAge: own.LogAge})
-		last = end.result(n, own.Entry)
-		if own.NoVoucher && !ask && end.reason == once.ReasonJournalWait {
-			// Another router may be able to vouch for the outage; this one will not be before it ends.
+		end := d.attemptOnce(ctx, owner.Entry, r, attemptOptions{once: true, slice: slice, epoch: owner.Epoch, ask: ask, logAge: owner.LogAge})
+		last = end.result(n, owner.Entry)
+		if owner.NoVoucher && !ask && end.reason == once.ReasonJournalWait {
+			// Another router may be able to confirm the outage; this one cannot before the outage
+			// ends.
 			return last
 		}
 		switch next := judgeOnce(end, ask); next {
 		case onceFinal:
 			return last
-		case onceAgain:
+		case onceRetry:
 			ask = false
 		case onceAsk:
 			ask = true
 		}
-		pause(ctx, ownerPause)
+		pause(ctx, ownerRetryInterval)
 	}
 	return late(last, ask)
 }
@@ -65,7 +66,7 @@
 	return end
 }
 
-// late is the answer when the time of a request is over.
+// late returns the answer to a request whose deadline has passed.
 func late(last Result, ask bool) Result {
 	if ask {
 		last.Outcome, last.Reason = request.OutcomeUnknown, ReasonDeadline
@@ -77,17 +78,17 @@
 	return last
 }
 
-// onceStep is what to do after one attempt.
+// onceStep is the action after one attempt.
 type onceStep string
 
 const (
 	onceFinal onceStep = "final"
-	onceAgain onceStep = "again"
+	onceRetry onceStep = "again"
 	onceAsk   onceStep = "ask"
 )
 
-// judgeOnce decides what follows an attempt. Asked says that the attempt was itself a question
-// about an earlier one that broke off.
+// judgeOnce decides the action after an attempt. Asked reports whether the attempt was itself a
+// query for the outcome of an earlier one that broke off.
 func judgeOnce(end attemptEnd, asked bool) onceStep {
 	switch end.kind {
 	case kindAnswered:
@@ -98,7 +99,7 @@
 		if asked {
 			return onceAsk
 		}
-		return onceAgain
+		return onceRetry
 	case kindUnknown:
 		if asked && end.reason == once.ReasonNotOwner {
 			return onceAsk
@@ -111,7 +112,7 @@
 		if asked {
 			return onceAsk
 		}
-		return onceAgain
+		return onceRetry
 	default:
 		return onceFinal
 	}
--- a/services/dispatch/stream.go
+++ b/services/dispatch/stream.go
@@ -22,7 +22,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// chunk is the part of a streamed event that is checked.
+// chunk holds the fields of a streamed event that are checked.
 type chunk struct {
 	ID    string `json:"id"`
 	Token int    `json:"token"`
@@ -30,27 +30,27 @@
 
 var (
 	dataPrefix = []byte("data: ")
-	doneMark   = []byte("[DONE]")
+	doneMarker = []byte("[DONE]")
 )
 
 // maxEvent bounds one event of a stream, in bytes.
 const maxEvent = 1 << 20
 
 var (
-	errCut        = eris.New("stream ended before its end mark")
+	errCut        = eris.New("stream ended without the [DONE] marker")
 	errForeign    = eris.New("event of another request")
 	errGap        = eris.New("token out of order")
 	errCallerGone = eris.New("caller is gone")
 )
 
-// progress is how much of a stream the caller has.
+// progress records how much of a stream the caller has received.
 type progress struct {
 	next int
 	done bool
 }
 
-// doStream carries a streamed request. A stream that breaks off is resumed at another upstream
-// after the last token the caller has.
+// doStream forwards a streamed request. A stream that breaks off is resumed at another upstream
+// after the last token that the caller has received.
 func (d *Dispatcher) doStream(ctx context.Context, r *Request, sink Sink) Result {
 	tried := map[upstream.ID]bool{}
 	p := &progress{}
@@ -86,7 +86,7 @@
 	}
 	d.dir.StreamBegan(clock.Now(), e.Beat.Upstream)
 	defer d.dir.StreamEnded(e.Beat.Upstream)
-	sink = &watched{Sink: sink, dir: d.dir, upstream: e.Beat.Upstream}
+	sink = &progressSink{Sink: sink, dir: d.dir, upstream: e.Beat.Upstream}
 	resp, end := d.open(ctx, e, r, attemptOptions{body: body})
 	if resp == nil {
 		return end
@@ -97,7 +97,7 @@
 		return end
 	}
 	if !streaming(resp) || resp.StatusCode != http.StatusOK {
-		return readRefused(ctx, resp, end)
+		return readUnstreamed(ctx, resp, end)
 	}
 	if err := p.copy(resp, r.ID, sink); err != nil {
 		if errors.Is(err, errCallerGone) {
@@ -108,29 +108,29 @@
 	return end
 }
 
-// progressEvery is the least time between two notes of progress of one stream.
-const progressEvery = 20 * time.Millisecond
+// progressInterval is the minimum time between two progress reports of one stream.
+const progressInterval = 20 * time.Millisecond
 
-// watched tells the directory that a stream goes on.
-type watched struct {
+// progressSink reports the progress of a stream to the directory.
+type progressSink struct {
 	Sink
 
-	dir      *directory.Directory
-	upstream upstream.ID
-	noted    time.Time
+	dir        *directory.Directory
+	upstream   upstream.ID
+	reportedAt time.Time
 }
 
-// Part passes one event on.
-func (w *watched) Part(event []byte) error {
-	if now := clock.Now(); now.Sub(w.noted) >= progressEvery {
-		w.noted = now
+// Part sends one event to the underlying sink.
+func (w *progressSink) Part(event []byte) error {
+	if now := clock.Now(); now.Sub(w.reportedAt) >= progressInterval {
+		w.reportedAt = now
 		w.dir.StreamProgress(now, w.upstream)
 	}
 	return w.Sink.Part(event)
 }
 
-// readRefused reads the whole answer of an upstream that did not stream, such as an error.
-func readRefused(ctx context.Context, resp *http.Response, end attemptEnd) attemptEnd {
+// readUnstreamed reads the complete answer of an upstream that did not stream, such as an error.
+func readUnstreamed(ctx context.Context, resp *http.Response, end attemptEnd) attemptEnd {
 	var b bytes.Buffer
 	if _, err := b.ReadFrom(http.MaxBytesReader(nil, resp.Body, request.MaxBody)); err != nil {
 		return broken(ctx, err)
@@ -139,7 +139,7 @@
 	return end
 }
 
-// copy passes events on as long as they belong to the request and follow each other.
+// copy passes events on as long as they belong to the request and their tokens are consecutive.
 func (p *progress) copy(resp *http.Response, id request.ID, sink Sink) error {
 	sc := bufio.NewScanner(resp.Body)
 	sc.Buffer(make([]byte, 0, 4096), maxEvent)
@@ -148,7 +148,7 @@
 		if !ok {
 			continue
 		}
-		if bytes.Equal(data, doneMark) {
+		if bytes.Equal(data, doneMarker) {
 			p.done = true
 			return wrapSink(sink.Part(event(data)))
 		}
@@ -194,7 +194,7 @@
 	return append(out, '\n', '\n')
 }
 
-// resumeBody returns the body that asks for the tokens from index from on.
+// resumeBody returns the request body that resumes the stream at token index from.
 func resumeBody(body []byte, from int) ([]byte, error) {
 	if from == 0 {
 		return body, nil
