--- a/services/routing/bench_test.go
+++ b/services/routing/bench_test.go
@@ -16,7 +16,8 @@
 	"fawnwinch.org/fawnwinch/models/upstream"
 )
 
-// The bench steps a few groups in virtual time and lets several routers choose among their ranks.
+// The benchmark steps a few groups in virtual time and lets several routers choose among their
+// ranks.
 
 const (
 	benchRouters = 6
@@ -49,7 +50,7 @@
 	lastStep time.Duration
 }
 
-// event is something that happens at a time.
+// event is an action that is due at a time.
 type event struct {
 	at time.Duration
 	do func()
@@ -68,7 +69,7 @@
 	return x
 }
 
-// chooser is a policy of one router.
+// chooser is the policy of one router.
 type chooser interface {
 	pick(now time.Time) int
 	sent(now time.Time, rank int)
@@ -88,8 +89,8 @@
 	stall    bool
 	first    []float64
 	between  []float64
-	// hurt counts requests whose first token took longer than a second.
-	hurt int
+	// late counts requests whose first token took longer than a second.
+	late int
 }
 
 var epoch = time.Unix(0, 0)
@@ -117,7 +118,7 @@
 	}
 }
 
-// rate is the number of requests a second at the bench's load.
+// rate is the number of requests per second at the benchmark's load.
 func (b *bench) rate() float64 {
 	full := baseStep + benchSlots*perSequence
 	return b.load * benchGroups * benchRanks * benchSlots / full.Seconds() / meanTokens
@@ -180,7 +181,7 @@
 		j.started = true
 		b.first = append(b.first, (b.now - j.arrived).Seconds())
 		if b.now-j.arrived > time.Second {
-			b.hurt++
+			b.late++
 		}
 	} else {
 		b.between = append(b.between, (b.now - j.last).Seconds())
@@ -188,7 +189,7 @@
 	j.last = b.now
 }
 
-// measure takes a report of every rank, which reaches the routers after the lag.
+// measure takes a report of each rank, which reaches the routers after the lag.
 func (b *bench) measure() {
 	for i, g := range b.groups {
 		for r := range g.ranks {
@@ -210,7 +211,7 @@
 	return s[min(len(s)-1, int(math.Ceil(p*float64(len(s)))))]
 }
 
-// counts is what the baselines know: their own requests in flight.
+// counts is a baseline policy; it uses only the router's own requests in flight.
 type counts struct {
 	rnd  *rand.Rand
 	own  [benchGroups * benchRanks]int
@@ -316,19 +317,19 @@
 		for _, lag := range []time.Duration{0, 200 * time.Millisecond, time.Second} {
 			for _, kind := range benchKinds {
 				b.Run(fmt.Sprintf("%s/lag%s/%s", tc.name, lag, kind), func(b *testing.B) {
-					var first, between, hurt []float64
+					var first, between, late []float64
 					for range b.N {
 						for seed := range uint64(benchSeeds) {
 							x := newBench(seed, kind, lag, tc.load, tc.slow, tc.stall)
 							x.run()
 							first = append(first, 1000*percentile(x.first, 0.99))
 							between = append(between, 1000*percentile(x.between, 0.99))
-							hurt = append(hurt, float64(x.hurt))
+							late = append(late, float64(x.late))
 						}
 					}
 					b.ReportMetric(percentile(first, 0.4), "first-p99-ms")
 					b.ReportMetric(percentile(between, 0.4), "between-p99-ms")
-					b.ReportMetric(percentile(hurt, 0.4), "over-1s")
+					b.ReportMetric(percentile(late, 0.4), "over-1s")
 				})
 			}
 		}
--- a/services/routing/entry.go
+++ b/services/routing/entry.go
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Entry is a router as a caller may use it.
+// Entry is a router that callers may use.
 type Entry struct {
 	ID         string        `json:"id"`
 	Address    string        `json:"address"`
@@ -21,7 +21,7 @@
 }
 
 // Rank orders the routers for an account: those of the preferred data centre first, then by
-// rendezvous score, so that accounts spread evenly and few move when a router comes or goes.
+// rendezvous score, so that accounts spread evenly and few move when a router is added or removed.
 func Rank(id account.ID, near vm.DataCentre, routers []Entry) []Entry {
 	out := slices.Clone(routers)
 	slices.SortFunc(out, func(a, b Entry) int {
--- a/services/routing/pick.go
+++ b/services/routing/pick.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// slowFactor is how many times the median step time makes a group slow.
+	// slowFactor is the multiple of the median step time above which a group is slow.
 	slowFactor = 3
-	// returnTime is how long a group that was shut out takes to get its full part again.
-	returnTime = 5 * time.Second
-	// firstPart is the part a returning group begins with.
-	firstPart = 0.1
+	// recoveryTime is how long an ejected group takes to get its full share of requests back.
+	recoveryTime = 5 * time.Second
+	// initialRecoveryRatio is the share of requests with which a recovering group starts.
+	initialRecoveryRatio = 0.1
 )
 
-// Pick returns the upstream that should take a request, or false if there is no candidate.
+// Pick returns the upstream for a request, or false if there is no candidate.
 func (t *Tracker) Pick(now time.Time, cands []Candidate) (upstream.ID, bool) {
 	if len(cands) == 0 {
 		return "", false
@@ -47,22 +47,23 @@
 	return best, best != ""
 }
 
-// view is one group at the time of a choice.
-type view struct {
+// groupView is the state of one group at the time of a choice.
+type groupView struct {
 	id    group.ID
 	step  time.Duration
 	ranks []Candidate
-	// fullest is the most work a rank of the group has.
-	fullest float64
-	// progress is the latest time one of this router's streams got a token, or zero if it has none.
+	// maxWork is the work of the rank of the group that has the most.
+	maxWork float64
+	// progress is the latest time at which one of this router's streams received a token, or zero
+	// if there are no streams.
 	progress time.Time
 	lead     *track
 }
 
-// groups collects the candidates by group; an upstream of a plain service is a group of its own.
-func (t *Tracker) groups(now time.Time, cands []Candidate) []*view {
-	var out []*view
-	at := map[group.ID]*view{}
+// groups collects the candidates by group; an upstream of a plain service forms a group by itself.
+func (t *Tracker) groups(now time.Time, cands []Candidate) []*groupView {
+	var out []*groupView
+	at := map[group.ID]*groupView{}
 	for _, c := range cands {
 		id := c.Group
 		if id == "" {
@@ -70,26 +71,26 @@
 		}
 		v, ok := at[id]
 		if !ok {
-			v = &view{id: id, lead: t.track(c.Upstream)}
+			v = &groupView{id: id, lead: t.track(c.Upstream)}
 			at[id] = v
 			out = append(out, v)
 		}
 		v.ranks = append(v.ranks, c)
 		v.step = max(v.step, t.stepTime(now, c.Upstream))
-		v.fullest = max(v.fullest, t.work(c.Upstream))
+		v.maxWork = max(v.maxWork, t.work(c.Upstream))
 		if tr := t.track(c.Upstream); tr.streams > 0 && tr.progress.After(v.progress) {
 			v.progress = tr.progress
 		}
 	}
 	for _, v := range out {
-		v.noteStall(now)
+		v.applyStall(now)
 	}
 	return out
 }
 
-// noteStall counts the time since any of this router's streams got a token as the group's step, once
-// that is too long for a step. It shows a stall before the reports do.
-func (v *view) noteStall(now time.Time) {
+// applyStall uses the time since any of this router's streams received a token as the group's step
+// time, once that is too long for a step. It shows a stall before the reports do.
+func (v *groupView) applyStall(now time.Time) {
 	if v.progress.IsZero() || v.step <= 0 {
 		return
 	}
@@ -98,32 +99,33 @@
 	}
 }
 
-// cost estimates how long a request takes at a rank, and how much longer it makes everybody else's.
-// The unit is the step time of the group.
-func (t *Tracker) cost(g *view, c Candidate) float64 {
+// cost estimates how long a request takes at a rank, and how much longer it makes all other
+// requests of the group. It is in seconds, scaled by the step time of the group.
+func (t *Tracker) cost(g *groupView, c Candidate) float64 {
 	work := t.work(c.Upstream)
 	slots := float64(max(1, t.track(c.Upstream).report.Concurrency))
 	step := max(g.step.Seconds(), minStep)
 	queue := max(0, work+1-slots) / slots
 	fill := (work + 1) / slots
-	gating := max(0, work+1-g.fullest) / slots
-	return step * (1 + queueWeight*queue + fillWeight*math.Pow(min(1, fill), fillPower) + gating)
+	delay := max(0, work+1-g.maxWork) / slots
+	return step * (1 + queueWeight*queue + fillWeight*math.Pow(min(1, fill), fillPower) + delay)
 }
 
 const (
-	// minStep stands for the step time of upstreams that have none, in seconds.
+	// minStep replaces the step time of upstreams that report none, in seconds.
 	minStep = 0.001
-	// queueWeight is what a full round of waiting costs against a step.
+	// queueWeight is the cost of waiting for a full round of requests, in steps.
 	queueWeight = 20
-	// fillWeight is what a full rank costs against an empty one. The power makes the last places dear:
-	// a slow group with room is better than a fast one where the next request would wait.
+	// fillWeight is the extra cost of a full rank compared with an empty one, in steps. The power
+	// makes the last slots expensive: a slow group with room is better than a fast one where the
+	// next request would wait.
 	fillWeight = 4
 	fillPower  = 4
 )
 
-// eject leaves out groups that are slow against the median, within the limit, and lets recovered
-// groups back in by and by.
-func (t *Tracker) eject(now time.Time, groups []*view) []*view {
+// eject leaves out groups that are slow compared with the median, within EjectLimit, and readmits
+// recovered groups gradually.
+func (t *Tracker) eject(now time.Time, groups []*groupView) []*groupView {
 	if len(groups) < 2 {
 		return groups
 	}
@@ -135,10 +137,10 @@
 	median := steps[(len(steps)-1)/2]
 	allowed := int(t.opts.EjectLimit * float64(len(groups)))
 	byStep := slices.Clone(groups)
-	slices.SortStableFunc(byStep, func(a, b *view) int { return int(b.step - a.step) })
-	var open []*view
+	slices.SortStableFunc(byStep, func(a, b *groupView) int { return int(b.step - a.step) })
+	var open []*groupView
 	for i, g := range byStep {
-		if i < allowed && t.shut(now, g, median) {
+		if i < allowed && t.ejected(now, g, median) {
 			continue
 		}
 		open = append(open, g)
@@ -146,24 +148,24 @@
 	return open
 }
 
-// shut reports whether a group is left out of this choice.
-func (t *Tracker) shut(now time.Time, g *view, median time.Duration) bool {
+// ejected reports whether a group is left out of this choice.
+func (t *Tracker) ejected(now time.Time, g *groupView, median time.Duration) bool {
 	slow := median > 0 && g.step > slowFactor*median
 	l := g.lead
 	if slow {
-		l.slowSince, l.backSince = now, time.Time{}
+		l.slowSince, l.recoveringSince = now, time.Time{}
 		return true
 	}
 	if !l.slowSince.IsZero() {
-		l.slowSince, l.backSince = time.Time{}, now
+		l.slowSince, l.recoveringSince = time.Time{}, now
 	}
-	if l.backSince.IsZero() {
+	if l.recoveringSince.IsZero() {
 		return false
 	}
-	part := firstPart + (1-firstPart)*float64(now.Sub(l.backSince))/float64(returnTime)
-	if part >= 1 {
-		l.backSince = time.Time{}
+	ratio := initialRecoveryRatio + (1-initialRecoveryRatio)*float64(now.Sub(l.recoveringSince))/float64(recoveryTime)
+	if ratio >= 1 {
+		l.recoveringSince = time.Time{}
 		return false
 	}
-	return t.random.Float64() > part
+	return t.random.Float64() > ratio
 }
--- a/services/routing/pick_test.go
+++ b/services/routing/pick_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestNeverAllShut checks that slowness alone never leaves a service without an upstream, and that a
-// group that has recovered comes back by and by.
+// TestNeverAllShut checks that slowness alone never leaves a service without an upstream, and that
+// a group that has recovered is readmitted gradually.
 func TestNeverAllShut(t *testing.T) {
 	tr, cands := twoGroups()
 	for i := range 4 {
@@ -109,7 +109,7 @@
 		}
 		return n
 	}
-	early, late := share(2*time.Second), share(2*time.Second+2*returnTime)
+	early, late := share(2*time.Second), share(2*time.Second+2*recoveryTime)
 	if early == 0 || early > 200 || late < 400 {
 		t.Errorf("of 1000 choices the recovered group got %d at once and %d later", early, late)
 	}
@@ -132,7 +132,7 @@
 	}
 }
 
-// TestRankMovesLittle checks that a router that leaves moves only its own accounts.
+// TestRankMovesLittle checks that the removal of a router moves only its own accounts.
 func TestRankMovesLittle(t *testing.T) {
 	var all []Entry
 	for i := range 6 {
@@ -140,12 +140,12 @@
 	}
 	first := map[string]int{}
 	for a := range 600 {
-		who := account.ID(fmt.Sprint("account-", a))
-		before := Rank(who, "a", all)
-		after := Rank(who, "a", all[1:])
+		accountID := account.ID(fmt.Sprint("account-", a))
+		before := Rank(accountID, "a", all)
+		after := Rank(accountID, "a", all[1:])
 		first[before[0].ID]++
 		if before[0].ID != "router-0" && before[0].ID != after[0].ID {
-			t.Fatalf("account %s moved from %s to %s", who, before[0].ID, after[0].ID)
+			t.Fatalf("account %s moved from %s to %s", accountID, before[0].ID, after[0].ID)
 		}
 	}
 	for r, n := range first {
