--- a/services/balance/balance_test.go
+++ b/services/balance/balance_test.go
@@ -20,8 +20,8 @@
 	UsualPrompt: 835, Layers: 4, Experts: 72, Places: 8, ExpertShare: 0.85,
 }
 
-// TestBudget plays routers that retry whenever they may, in random order, and restart: in no window may
-// they have more than the users' bound together.
+// TestBudget simulates routers that retry whenever they may, in random order, and restart: together
+// they must stay within the users' limit in every window.
 func TestBudget(t *testing.T) {
 	const window, ratio, slack = 10 * time.Second, 0.2, 90.0
 	for seed := range uint64(20) {
@@ -40,7 +40,7 @@
 			for budgets[i].Take(now) {
 				retries = append(retries, now)
 			}
-			if now.Sub(begin) == 30*time.Second { // all are killed at once
+			if now.Sub(begin) == 30*time.Second { // all restart at once
 				for k := range budgets {
 					budgets[k] = NewBudget(now, ratio, slack, window, len(budgets))
 				}
@@ -66,7 +66,8 @@
 	}
 }
 
-// TestLimit checks that the limit falls with the skew and with the goal, and that the forecast keeps the goal.
+// TestLimit checks that the limit falls with the skew and with the goal, and that forecast passes
+// meet the goal.
 func TestLimit(t *testing.T) {
 	last := engine.Slots + 1
 	for skew := 1.0; skew < 4; skew += 0.2 {
@@ -98,7 +99,7 @@
 	}
 }
 
-// run names the only run of an upstream that does not say when it started.
+// run returns the run of an upstream that does not report its start time.
 func run(id upstream.ID) upstream.Run { return upstream.Run{ID: id} }
 
 func candidates(n int) ([]upstream.Instance, map[string]upstream.Run) {
@@ -112,8 +113,9 @@
 	return list, ids
 }
 
-// TestHerd lets several routers with the same reports place requests that engines do not report yet: the fullest rank
-// has not many more than the others. Choices are partly by chance, so it looks at the mean of some runs.
+// TestHerd has several routers with the same reports send requests that engines do not report yet.
+// The fullest rank must not have many more requests than the others. Choices are partly random, so
+// the test uses the mean of several runs.
 func TestHerd(t *testing.T) {
 	const routers, ranks, rounds, perRound = 6, 12, 40, 10
 	fullest := func(seed uint64) int {
@@ -121,23 +123,23 @@
 		pools := make([]*Pool, routers)
 		for i := range pools {
 			pools[i] = NewPool("")
-			pools[i].chance = rand.New(rand.NewPCG(seed, uint64(i))).Float64
+			pools[i].random = rand.New(rand.NewPCG(seed, uint64(i))).Float64
 		}
 		sent := map[upstream.ID]int{}
-		told := make([]Unstarted, routers)
+		reported := make([]Unstarted, routers)
 		most := 0
 		for round := range rounds {
 			now := begin.Add(time.Duration(round) * 100 * time.Millisecond)
 			g := Group{Open: true}
 			for _, c := range cands {
 				l := RankLoad{Address: c.Address}
-				for i := range told {
-					l.Unstarted += told[i][c.Address]
+				for i := range reported {
+					l.Unstarted += reported[i][c.Address]
 				}
 				g.Ranks = append(g.Ranks, l)
 			}
 			for i := range pools {
-				told[i] = pools[i].Report(now, g, ids)
+				reported[i] = pools[i].Report(now, g, ids)
 			}
 			for k := range perRound {
 				p := pools[k%routers]
@@ -163,7 +165,7 @@
 	}
 }
 
-// TestPick checks what makes an upstream be passed over.
+// TestPick checks which upstreams are skipped.
 func TestPick(t *testing.T) {
 	cands, _ := candidates(2)
 	cases := map[string]struct {
@@ -202,7 +204,7 @@
 	}
 }
 
-// TestClosed checks that a group counts as broken only by a recent report.
+// TestClosed checks that only a recent report marks a group as broken.
 func TestClosed(t *testing.T) {
 	p := NewPool("")
 	if p.Closed(begin) {
@@ -222,8 +224,8 @@
 	}
 }
 
-// TestOldReport checks by what a router goes as a report gets older: by its places, then by what it has sent itself, and by
-// places that are left as long as the report counts.
+// TestOldReport checks what a router's choice depends on as a report ages: first its allotment,
+// then its own sends, and unused allotments as long as the report is valid.
 func TestOldReport(t *testing.T) {
 	cands, ids := candidates(2)
 	report := func(p *Pool, places Places) {
@@ -267,7 +269,7 @@
 	}
 }
 
-// TestReportCounts checks that the reports of a slow coordinator count for longer.
+// TestReportCounts checks that reports of a slow coordinator are valid for longer.
 func TestReportCounts(t *testing.T) {
 	p := NewPool("")
 	p.Report(begin, Group{ID: "g"}, nil)
@@ -276,13 +278,13 @@
 		t.Error("a report that follows the one before after a second does not count for 2.5 s")
 	}
 	p.Report(begin.Add(20*time.Second), Group{ID: "g"}, nil)
-	if now := begin.Add(20 * time.Second); !p.Reported(now.Add(reportValidMost-1)) || p.Reported(now.Add(reportValidMost)) {
+	if now := begin.Add(20 * time.Second); !p.Reported(now.Add(maxReportValid-1)) || p.Reported(now.Add(maxReportValid)) {
 		t.Error("a report after a long silence counts for ever")
 	}
 }
 
-// TestBornAgain checks that an upstream that has started again has neither the requests nor the failures of before, and that the end of a
-// request that was sent to the run before does not count for it.
+// TestBornAgain checks that a restarted upstream keeps neither the requests nor the failures of its
+// earlier run, and that the end of a request to the earlier run does not change its state.
 func TestBornAgain(t *testing.T) {
 	p := NewPool("")
 	before := upstream.Instance{ID: "u0", Born: 100, Slots: 1}
@@ -304,12 +306,12 @@
 		t.Errorf("%d requests, failure rate %.1f", s.inFlight, s.errorRate(begin))
 	}
 	p.Forget(begin, map[upstream.Run]bool{after.Run(): true})
-	if len(p.ups) != 1 {
-		t.Errorf("%d runs are kept", len(p.ups))
+	if len(p.states) != 1 {
+		t.Errorf("%d runs are kept", len(p.states))
 	}
 }
 
-// TestTurnsAway checks when ranks that turn requests away speak for their groups.
+// TestTurnsAway checks when rejections by ranks apply to their groups.
 func TestTurnsAway(t *testing.T) {
 	full := func(p *Pool) { p.Sent(begin, run("u0")); p.Done(begin, run("u0"), ResultFull, 0, false) }
 	cases := map[string]struct {
@@ -319,8 +321,8 @@
 	}{
 		"nothing was sent":                 {func(*Pool) {}, 0, false},
 		"a rank turned a request away":     {full, 0, true},
-		"that was a while ago":             {full, turnsAwayFor, false},
-		"another has answered lately":      {func(p *Pool) { p.Started(begin.Add(-answersBefore/2), run("u1")); full(p) }, 0, false},
+		"that was a while ago":             {full, rejectionValid, false},
+		"another has answered lately":      {func(p *Pool) { p.Started(begin.Add(-recentStart/2), run("u1")); full(p) }, 0, false},
 		"another answers since":            {func(p *Pool) { full(p); p.Started(begin, run("u1")) }, 0, false},
 		"a coordinator tells of the group": {func(p *Pool) { full(p); p.Report(begin, Group{ID: "g", Open: true}, nil) }, 0, false},
 	}
@@ -354,7 +356,7 @@
 	}
 }
 
-// TestDrain checks the forecast of how many streams a rank ends in a second.
+// TestDrain checks the forecast of completed streams per second and rank.
 func TestDrain(t *testing.T) {
 	e := *engine
 	if got := Drain(&e, GroupLoad{}, Bounds{Mean: 4}); got != 0 {
@@ -368,12 +370,13 @@
 	}
 }
 
-// TestPickLeaderless checks what a router goes by at ranks of which nobody tells while others are told of: not by its having nothing in flight there, and
-// not beyond the limit of a group on its first map.
+// TestPickLeaderless checks how a router rates unreported ranks while others are reported: having
+// nothing in flight there must not make them look idle, and the limit of a group on its first map
+// applies.
 func TestPickLeaderless(t *testing.T) {
 	cands, ids := candidates(4)
-	// The first two ranks are told of; the router is one of ten.
-	told := func(running int) Group {
+	// The first two ranks are reported; the router is one of ten.
+	reported := func(running int) Group {
 		return Group{ID: "g", Open: true, Ranks: []RankLoad{{Address: "a0", Running: running, Pace: 1}, {Address: "a1", Running: running + 1, Pace: 1}}}
 	}
 	ask := Ask{Engine: engine, Bounds: Bounds{Rank: 10, Mean: 8}, Leaderless: Bounds{Rank: 6, Mean: 4}, Routers: 10}
@@ -398,7 +401,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := NewPool("")
 			p.DrawBy(func() float64 { return 0 })
-			p.Report(begin, told(c.running), ids)
+			p.Report(begin, reported(c.running), ids)
 			sent(p, c.sent...)
 			if got, _ := p.Pick(begin.Add(c.at), cands, ask); got.ID != c.want {
 				t.Errorf("picked %q, want %q", got.ID, c.want)
@@ -407,7 +410,8 @@
 	}
 }
 
-// TestFirstEvent checks the forecast of the time to a first event against passes of an even and of a held-up group.
+// TestFirstEvent checks the forecast time to the first event against passes of an even and of a
+// delayed group.
 func TestFirstEvent(t *testing.T) {
 	engine := &catalog.Engine{Slots: 12, Stride: 4, StepMillis: 4.55, WriterMillis: 0.905, ReadPerSecond: 61_400, Chunk: 512, UsualPrompt: 800, ExpertShare: 0.85}
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/services/balance/book.go
+++ b/services/balance/book.go
@@ -12,61 +12,67 @@
 	"fawnwinch.org/fawnwinch/services/peer"
 )
 
-// Book holds what the routers have told a coordinator, and what it has let them send. It is safe for
-// use by several goroutines and reads no clock.
+// Book records the routers' replies to a coordinator and the allotments that routers received. It
+// is safe for use by several goroutines and reads no clock.
 type Book struct {
 	mu       sync.Mutex
 	allotter *Allotter
 	routers  map[string]*routerEntry
-	// reports counts the reports.
+	// reports is the number of reports so far.
 	reports uint64
-	// list is the list of ranks that the latest report went by.
+	// list is the rank list of the latest report.
 	list RankList
-	// backlog is what waits for the group, reportedAt the time of the latest report, and between the mean time from one to the next.
-	backlog    Backlog
-	reportedAt time.Time
-	between    time.Duration
-	// probedAt holds when one request was last let go to each rank that turns requests away and runs none.
+	// backlog is the group's backlog, reportedAt the time of the latest report, and reportInterval
+	// the mean time between reports.
+	backlog        Backlog
+	reportedAt     time.Time
+	reportInterval time.Duration
+	// probedAt holds, for each rank that rejects requests and runs none, when the latest probe
+	// request was allowed.
 	probedAt map[string]time.Time
-	// turn counts the routers that have had their turn to be told although they are idle.
-	turn int
+	// rotation counts the positions in the router list that the rotation of idle routers has
+	// passed.
+	rotation int
 }
 
-// routerEntry is what is known of one router.
+// routerEntry is the record of one router.
 type routerEntry struct {
 	info       peer.Info
 	answeredAt time.Time
-	// activeAt is when the router last said that it has requests for the group.
+	// activeAt is when the router last reported requests for the group.
 	activeAt time.Time
-	// report is the number of the latest report that was answered.
+	// report is the number of the latest report that the router has answered.
 	report    uint64
 	unstarted Unstarted
-	// wanted, waiting and rate are those of its reply.
+	// wanted, waiting and rate are from the router's latest reply.
 	wanted, waiting int
 	rate            float64
-	// most bounds what the router may send to some ranks.
-	most Most
-	// resting holds the ranks that have turned it away.
-	resting []string
-	// list numbers the list of ranks that the router has.
+	// maxSends limits the requests that the router may send to some ranks.
+	maxSends Most
+	// backingOff holds the ranks that have asked the router to back off.
+	backingOff []string
+	// list is the number of the rank list that the router has.
 	list uint64
-	// given holds the places of each report whose use the router has not told of yet.
-	given map[uint64]Places
+	// outstanding holds the allotments, by report number, whose use the router has not reported
+	// yet.
+	outstanding map[uint64]Places
 }
 
 const (
-	// fewRouters is the number of routers up to which all are told the load of the group in each look. Of more, those
-	// without requests are told by turns, each once in turnLooks looks, and in firstLooks looks of a new coordinator.
-	fewRouters = 32
-	turnLooks  = 16
-	firstLooks = 4
-	// activeFor is how long a router is told in each look after it has said that it has requests.
-	activeFor = 3 * time.Second
+	// fullBroadcastMax is the number of routers up to which all of them get a report in each round.
+	// With more routers, those without requests get reports in rotation: each once in
+	// rotationRounds rounds, and once in initialRounds rounds of a new coordinator.
+	fullBroadcastMax = 32
+	rotationRounds   = 16
+	initialRounds    = 4
+	// activeTimeout is how long a router gets a report in each round after it last reported
+	// requests.
+	activeTimeout = 3 * time.Second
 )
 
-// Targets returns the routers that are told the load of the group in a look.
+// Targets returns the routers that get a report in the current round.
 func (b *Book) Targets(now time.Time, routers []peer.Info) []peer.Info {
-	if len(routers) <= fewRouters {
+	if len(routers) <= fullBroadcastMax {
 		return routers
 	}
 	b.mu.Lock()
@@ -74,26 +80,27 @@
 	var out []peer.Info
 	active := map[string]bool{}
 	for name, e := range b.routers {
-		if now.Sub(e.activeAt) < activeFor {
+		if now.Sub(e.activeAt) < activeTimeout {
 			active[name] = true
 			out = append(out, e.info)
 		}
 	}
 	slices.SortFunc(out, func(a, b peer.Info) int { return cmp.Compare(a.Name, b.Name) })
-	looks := turnLooks
-	if b.turn < len(routers) {
-		looks = firstLooks
+	rounds := rotationRounds
+	if b.rotation < len(routers) {
+		rounds = initialRounds
 	}
-	for range (len(routers) + looks - 1) / looks {
-		if r := routers[b.turn%len(routers)]; !active[r.Name] {
+	for range (len(routers) + rounds - 1) / rounds {
+		if r := routers[b.rotation%len(routers)]; !active[r.Name] {
 			out = append(out, r)
 		}
-		b.turn++
+		b.rotation++
 	}
 	return out
 }
 
-// Want notes that a router has requests for the group, and returns the load as it can read it.
+// Want records that a router has requests for the group, and returns the load packed for that
+// router.
 func (b *Book) Want(now time.Time, w Want, g Group) Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -106,11 +113,11 @@
 	return b.list.Pack(g, w.List)
 }
 
-// entry returns what is known of a router. The caller holds the lock.
+// entry returns the record of a router and creates it if necessary. The caller holds the lock.
 func (b *Book) entry(r peer.Info) *routerEntry {
 	e, ok := b.routers[r.Name]
 	if !ok {
-		e = &routerEntry{given: map[uint64]Places{}}
+		e = &routerEntry{outstanding: map[uint64]Places{}}
 		b.routers[r.Name] = e
 	}
 	e.info = r
@@ -118,41 +125,41 @@
 }
 
 const (
-	// answerValid is how long an answer of a router counts, and answersMissed for how many of the times between two reports
-	// it does in any case.
-	answerValid   = time.Second
-	answersMissed = 2.5
-	// betweenKeep is the weight of the past in the mean time between two reports.
-	betweenKeep = 0.7
+	// replyValid is how long a router's reply is used at least. It is used for replyValidIntervals
+	// times the interval between two reports if that is longer.
+	replyValid          = time.Second
+	replyValidIntervals = 2.5
+	// intervalDecay is the smoothing factor of the mean time between two reports.
+	intervalDecay = 0.7
 )
 
-// valid returns how long an answer of a router counts. The caller holds the lock.
+// valid returns how long a router's reply is used. The caller holds the lock.
 func (b *Book) valid() time.Duration {
-	return max(answerValid, time.Duration(answersMissed*float64(b.between)))
+	return max(replyValid, time.Duration(replyValidIntervals*float64(b.reportInterval)))
 }
 
-// NewBook returns an empty book. Lists of ranks are numbered from first on; coordinators must not use the
-// same numbers.
+// NewBook returns an empty book. Rank lists are numbered from first on; coordinators must not use
+// the same numbers.
 func NewBook(first uint64) *Book {
 	return &Book{allotter: NewAllotter(), routers: map[string]*routerEntry{}, probedAt: map[string]time.Time{}, list: RankList{Number: first}}
 }
 
-// Report begins a report: it returns its number, and the places of each router that has answered lately.
-// Other routers have to judge by themselves; so have all without bounds.
+// Report starts a report. It returns the report's number and the allotments of the routers with a
+// valid reply. Other routers decide by themselves, and all do if bounds is nil.
 func (b *Book) Report(now time.Time, routers []peer.Info, ranks []RankLoad, bounds *Bounds) (uint64, map[string]Places) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reports++
 	b.list = b.list.Next(ranks)
 	if !b.reportedAt.IsZero() {
-		b.between = time.Duration(betweenKeep*float64(b.between) + (1-betweenKeep)*float64(now.Sub(b.reportedAt)))
+		b.reportInterval = time.Duration(intervalDecay*float64(b.reportInterval) + (1-intervalDecay)*float64(now.Sub(b.reportedAt)))
 	}
 	b.reportedAt, b.backlog = now, Backlog{}
 	if bounds == nil {
 		return b.reports, nil
 	}
-	given := Places{}
-	var wishes []Wish
+	outstanding := Places{}
+	var demands []Demand
 	for _, r := range routers {
 		e, ok := b.routers[r.Name]
 		if !ok || now.Sub(e.answeredAt) > b.valid() {
@@ -160,16 +167,16 @@
 		}
 		b.backlog.Waiting += e.waiting
 		b.backlog.Rate += e.rate
-		wishes = append(wishes, Wish{Router: r.Name, Requests: e.wanted, DataCentre: r.DataCentre, Most: e.most, Resting: e.resting})
-		for _, places := range e.given {
+		demands = append(demands, Demand{Router: r.Name, Requests: e.wanted, DataCentre: r.DataCentre, Most: e.maxSends, Resting: e.backingOff})
+		for _, places := range e.outstanding {
 			for address, n := range places {
-				given[address] += n
+				outstanding[address] += n
 			}
 		}
 	}
-	places := b.allotter.Allot(ranks, *bounds, given, wishes, b.probes(now, ranks, wishes))
+	places := b.allotter.Allot(ranks, *bounds, outstanding, demands, b.probes(now, ranks, demands))
 	for name, p := range places {
-		b.routers[name].given[b.reports] = p
+		b.routers[name].outstanding[b.reports] = p
 		for _, n := range p {
 			b.backlog.Free += n
 		}
@@ -177,20 +184,21 @@
 	return b.reports, places
 }
 
-// probeEvery is the time between two requests that are let go to a rank which turns requests away and runs none.
-const probeEvery = time.Second
+// probeInterval is the time between two probe requests to a rank that rejects requests and runs
+// none.
+const probeInterval = time.Second
 
-// probes bounds the places at ranks that look idle because they turn requests away. Each router that has not been turned away yet would send
-// there first; of many routers most have not. One request at a time finds out when such a rank takes them again. The caller holds the
-// lock.
-func (b *Book) probes(now time.Time, ranks []RankLoad, wishes []Wish) Most {
+// probes limits the allotments at ranks that look idle because they reject requests. Each router
+// without a rejection would send there first, and most of many routers have none. One request at a
+// time finds out when such a rank accepts requests again. The caller holds the lock.
+func (b *Book) probes(now time.Time, ranks []RankLoad, demands []Demand) Most {
 	out := Most{}
 	for _, r := range ranks {
-		rests := slices.ContainsFunc(wishes, func(w Wish) bool { return slices.Contains(w.Resting, r.Address) })
+		rejects := slices.ContainsFunc(demands, func(d Demand) bool { return slices.Contains(d.Resting, r.Address) })
 		switch {
-		case !rests || r.Running > 0:
+		case !rejects || r.Running > 0:
 			delete(b.probedAt, r.Address)
-		case now.Sub(b.probedAt[r.Address]) >= probeEvery:
+		case now.Sub(b.probedAt[r.Address]) >= probeInterval:
 			b.probedAt[r.Address] = now
 			out[r.Address] = 1
 		default:
@@ -200,7 +208,7 @@
 	return out
 }
 
-// Pack returns the latest report as a router can read it, and the list that it goes by.
+// Pack returns the latest report packed for a router, and the rank list that it refers to.
 func (b *Book) Pack(name string, g Group) (Report, RankList) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -212,8 +220,8 @@
 	return b.list.Pack(g, has), b.list
 }
 
-// Answered takes in a router's answer to a report that went by a list. It tells what the router had sent before
-// it got the report, so the places of earlier ones are settled.
+// Answered records a router's reply to a report with the given rank list. The reply covers all
+// sends before the router received the report, so earlier allotments are no longer outstanding.
 func (b *Book) Answered(now time.Time, router peer.Info, report uint64, list RankList, reply ReportReply) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -222,22 +230,23 @@
 		e.activeAt = now
 	}
 	if report < e.report {
-		return // answers may pass each other
+		return // replies may arrive out of order
 	}
 	if e.list = reply.List; reply.List != list.Number {
-		return // the router could not read the report; the next one brings it the list
+		return // the router could not read the report; the next one includes the list
 	}
 	e.answeredAt, e.report, e.unstarted, e.wanted = now, report, list.UnpackUnstarted(reply.Unstarted), reply.Wanted
 	e.waiting, e.rate = reply.Waiting, reply.Rate
-	e.most, e.resting = list.UnpackMost(reply.Most), list.UnpackRanks(reply.Resting)
-	for n := range e.given {
+	e.maxSends, e.backingOff = list.UnpackMost(reply.Most), list.UnpackRanks(reply.Resting)
+	for n := range e.outstanding {
 		if n < report {
-			delete(e.given, n)
+			delete(e.outstanding, n)
 		}
 	}
 }
 
-// Unstarted returns the requests at a rank that have not begun, as the routers told lately.
+// Unstarted returns the number of requests at a rank whose answers have not begun, from valid
+// replies of routers.
 func (b *Book) Unstarted(now time.Time, engine string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/services/balance/book_test.go
+++ b/services/balance/book_test.go
@@ -11,8 +11,8 @@
 	"fawnwinch.org/fawnwinch/services/peer"
 )
 
-// TestBook follows a coordinator's reports and the routers' answers, late and lost ones too: places
-// that may be in use are not given out again.
+// TestBook runs a coordinator's reports and routers' replies, including late and lost ones:
+// allotments that may be in use are not given out again.
 func TestBook(t *testing.T) {
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
 	ranks := []RankLoad{{Address: "e"}}
@@ -65,14 +65,14 @@
 	}
 }
 
-// TestRankList follows a router that loses the list of ranks by which it is told: it is sent the list again, and
-// gets no places by an answer to a report that it could not read.
+// TestRankList checks that a router that loses the rank list gets it again, and gets no allotment
+// through a reply to a report that it could not read.
 func TestRankList(t *testing.T) {
 	ranks := []RankLoad{{Address: "e"}, {Address: "f"}}
 	g := Group{Ranks: ranks}
 	bounds := &Bounds{Rank: 8, Mean: 8}
 	b := NewBook(1)
-	tell := func(ms int, read bool) (carried bool, places Places) {
+	sendReport := func(ms int, read bool) (carried bool, places Places) {
 		now := begin.Add(time.Duration(ms) * time.Millisecond)
 		number, all := b.Report(now, []peer.Info{{Name: "a"}}, g.Ranks, bounds)
 		report, list := b.Pack("a", g)
@@ -98,7 +98,7 @@
 	}
 	for i, step := range steps {
 		g.Ranks = ranks[:step.ranks]
-		carried, places := tell(70*i, step.read)
+		carried, places := sendReport(70*i, step.read)
 		if carried != step.carried {
 			t.Errorf("%s: list carried: %t, want %t", step.what, carried, step.carried)
 		}
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestTargets checks which routers are told the load in a look: few routers all, of many those with requests, and the
-// others by turns.
+// TestTargets checks which routers get a report in a round: all of few routers; of many, those with
+// requests, and the others in rotation.
 func TestTargets(t *testing.T) {
 	routers := func(n int) []peer.Info {
 		out := make([]peer.Info, n)
@@ -119,43 +119,43 @@
 		return out
 	}
 	b := NewBook(1)
-	if got := b.Targets(begin, routers(fewRouters)); len(got) != fewRouters {
-		t.Errorf("%d of %d routers are told", len(got), fewRouters)
+	if got := b.Targets(begin, routers(fullBroadcastMax)); len(got) != fullBroadcastMax {
+		t.Errorf("%d of %d routers are told", len(got), fullBroadcastMax)
 	}
 	many := routers(149)
-	told := map[string]int{}
-	for look := range firstLooks {
-		for _, r := range b.Targets(begin.Add(time.Duration(look)*70*time.Millisecond), many) {
-			told[r.Name]++
+	reports := map[string]int{}
+	for round := range initialRounds {
+		for _, r := range b.Targets(begin.Add(time.Duration(round)*70*time.Millisecond), many) {
+			reports[r.Name]++
 		}
 	}
-	if len(told) != len(many) {
-		t.Errorf("a new coordinator has told %d routers after %d looks", len(told), firstLooks)
+	if len(reports) != len(many) {
+		t.Errorf("a new coordinator has told %d routers after %d looks", len(reports), initialRounds)
 	}
 	b.Want(begin, Want{Router: many[7]}, Group{})
 	b.Answered(begin, many[8], 1, RankList{}, ReportReply{Idle: true})
-	told = map[string]int{}
-	for look := range turnLooks {
-		for _, r := range b.Targets(begin.Add(time.Duration(look)*70*time.Millisecond), many) {
-			told[r.Name]++
+	reports = map[string]int{}
+	for round := range rotationRounds {
+		for _, r := range b.Targets(begin.Add(time.Duration(round)*70*time.Millisecond), many) {
+			reports[r.Name]++
 		}
 	}
-	if told["r7"] != turnLooks || told["r8"] > 2 || len(told) < len(many)-1 {
-		t.Errorf("the router with requests was told %d times in %d looks, an idle one %d times, %d in all", told["r7"], turnLooks, told["r8"], len(told))
+	if reports["r7"] != rotationRounds || reports["r8"] > 2 || len(reports) < len(many)-1 {
+		t.Errorf("the router with requests was told %d times in %d looks, an idle one %d times, %d in all", reports["r7"], rotationRounds, reports["r8"], len(reports))
 	}
-	told = map[string]int{}
-	for look := range turnLooks {
-		for _, r := range b.Targets(begin.Add(activeFor+time.Duration(look)*70*time.Millisecond), many) {
-			told[r.Name]++
+	reports = map[string]int{}
+	for round := range rotationRounds {
+		for _, r := range b.Targets(begin.Add(activeTimeout+time.Duration(round)*70*time.Millisecond), many) {
+			reports[r.Name]++
 		}
 	}
-	if told["r7"] > 2 {
-		t.Errorf("a router that has been idle for long is still told %d times", told["r7"])
+	if reports["r7"] > 2 {
+		t.Errorf("a router that has been idle for long is still told %d times", reports["r7"])
 	}
 }
 
-// TestProbes checks that a rank which has turned some routers away and runs nothing gets one request at a time, from the others too, until it
-// takes one.
+// TestProbes checks that a rank which rejects some routers and runs nothing gets one request at a
+// time, also from other routers, until it accepts one.
 func TestProbes(t *testing.T) {
 	b := NewBook(1)
 	steps := []struct {
@@ -174,7 +174,7 @@
 	}
 	for _, s := range steps {
 		ranks := []RankLoad{{Address: "a", Running: s.running}, {Address: "b"}}
-		got := b.probes(begin.Add(s.after), ranks, []Wish{{Router: "told", Resting: s.resting}, {Router: "untold"}})
+		got := b.probes(begin.Add(s.after), ranks, []Demand{{Router: "told", Resting: s.resting}, {Router: "untold"}})
 		if fmt.Sprint(got) != fmt.Sprint(s.want) {
 			t.Errorf("%s: %v, want %v", s.after, got, s.want)
 		}
--- a/services/balance/budget.go
+++ b/services/balance/budget.go
@@ -5,46 +5,46 @@
 
 import "time"
 
-// Budget bounds a router's attempts beyond the first of each request. All routers together have a
-// slack and a part of the requests in any window; each takes its share without asking.
+// Budget limits a router's retries. All routers together may use a fixed slack plus a fraction of
+// the requests in any window; each router uses its share without coordination.
 type Budget struct {
-	ratio, rate, most float64
-	tokens            float64
-	at                time.Time
+	ratio, rate, capacity float64
+	tokens                float64
+	refilledAt            time.Time
 }
 
 const (
-	// budgetSafety is the part of the users' bound that routers use: requests whose first attempt is
-	// counted in another window, and routers that are not known, take the rest.
-	budgetSafety = 0.8
-	// fewestRouters is the number of routers that the slack is parted among at least.
-	fewestRouters = 6
+	// budgetFraction is the fraction of the users' limit that routers use. The remainder covers
+	// requests whose first attempt falls into another window, and routers that are not known.
+	budgetFraction = 0.8
+	// minRouters is the smallest number of routers among which the slack is divided.
+	minRouters = 6
 )
 
-// NewBudget returns the budget of one of several routers. It begins half full, so that a process that is
-// started again and again gets no more than its share.
+// NewBudget returns the budget of one of several routers. It starts half full, so that a process
+// that restarts repeatedly gets no more than its share.
 func NewBudget(now time.Time, ratio, slack float64, window time.Duration, routers int) *Budget {
-	b := &Budget{at: now}
+	b := &Budget{refilledAt: now}
 	b.Rebound(now, ratio, slack, window, routers)
-	b.tokens = b.most / 2
+	b.tokens = b.capacity / 2
 	return b
 }
 
-// Rebound takes over new bounds; what was saved up stays, as far as they allow it.
+// Rebound changes the limits. Saved tokens are kept up to the new capacity.
 func (b *Budget) Rebound(now time.Time, ratio, slack float64, window time.Duration, routers int) {
 	b.refill(now)
-	share := budgetSafety * slack / float64(max(routers, fewestRouters)) / 2
-	b.ratio, b.rate, b.most = ratio*budgetSafety, share/window.Seconds(), share
-	b.tokens = min(b.tokens, b.most)
+	share := budgetFraction * slack / float64(max(routers, minRouters)) / 2
+	b.ratio, b.rate, b.capacity = ratio*budgetFraction, share/window.Seconds(), share
+	b.tokens = min(b.tokens, b.capacity)
 }
 
-// Request notes a request, which earns a part of a retry.
+// Request records a request, which earns a fraction of a retry.
 func (b *Budget) Request(now time.Time) {
 	b.refill(now)
-	b.tokens = min(b.tokens+b.ratio, b.most)
+	b.tokens = min(b.tokens+b.ratio, b.capacity)
 }
 
-// Take takes one retry out of the budget, or returns false if there is none.
+// Take consumes one retry, or returns false if the budget has none.
 func (b *Budget) Take(now time.Time) bool {
 	b.refill(now)
 	if b.tokens < 1 {
@@ -55,6 +55,6 @@
 }
 
 func (b *Budget) refill(now time.Time) {
-	b.tokens = min(b.tokens+b.rate*max(now.Sub(b.at).Seconds(), 0), b.most)
-	b.at = now
+	b.tokens = min(b.tokens+b.rate*max(now.Sub(b.refilledAt).Seconds(), 0), b.capacity)
+	b.refilledAt = now
 }
--- a/services/balance/opening.go
+++ b/services/balance/opening.go
@@ -11,8 +11,9 @@
 	"fawnwinch.org/fawnwinch/services/condition"
 )
 
-// Most returns how many requests may be sent to some upstreams until the next report, by what they say of themselves, and which of them have
-// turned this router away. Addresses maps where they are to their runs. Nothing is said of those that take any number.
+// Most returns the limits on requests to some upstreams until the next report, from the conditions
+// that they report, and the upstreams that have asked this router to back off. Addresses maps
+// upstream addresses to runs. Upstreams without a limit are left out.
 func (p *Pool) Most(now time.Time, addresses map[string]upstream.Run) (most Most, resting []string) {
 	if p.conditions.Empty() {
 		return nil, nil
@@ -34,37 +35,38 @@
 	return most, resting
 }
 
-// Opening forecasts how long it takes until upstreams take some requests, by what they say of themselves alone: 0 if they do now, condition.Never
-// if none will. One that limits its requests takes one at a time, any other as many as come.
+// Opening forecasts how long it takes until upstreams accept a number of requests, from the
+// conditions that they report: 0 if they accept them now, condition.Never if none will. An upstream
+// with a rate limit accepts one request at a time, any other accepts any number.
 func (p *Pool) Opening(now time.Time, cands []upstream.Instance, requests int) time.Duration {
 	if p.conditions.Empty() || len(cands) == 0 {
 		return 0
 	}
-	whole := condition.Never
-	var single []time.Duration
+	unlimitedWait := condition.Never
+	var limitedWaits []time.Duration
 	for _, c := range cands {
 		switch kind, wait := p.conditions.Judge(now, c.Run()); kind {
 		case condition.KindLimited:
-			single = append(single, wait)
+			limitedWaits = append(limitedWaits, wait)
 		case condition.KindLeaving, condition.KindResting:
-			whole = min(whole, wait)
+			unlimitedWait = min(unlimitedWait, wait)
 		default:
-			whole = 0
+			unlimitedWait = 0
 		}
 	}
-	if whole == 0 || len(single) == 0 {
-		return whole
+	if unlimitedWait == 0 || len(limitedWaits) == 0 {
+		return unlimitedWait
 	}
-	slices.Sort(single)
-	if requests <= len(single) {
-		return min(whole, single[requests-1])
+	slices.Sort(limitedWaits)
+	if requests <= len(limitedWaits) {
+		return min(unlimitedWait, limitedWaits[requests-1])
 	}
-	return min(whole, p.beyond(cands, single, requests))
+	return min(unlimitedWait, p.waitBeyondFirst(cands, limitedWaits, requests))
 }
 
-// beyond forecasts when upstreams that limit their requests take more of them than there are upstreams, if they all came from this
-// router.
-func (p *Pool) beyond(cands []upstream.Instance, single []time.Duration, requests int) time.Duration {
+// waitBeyondFirst forecasts when rate-limited upstreams accept more requests than there are
+// upstreams, if all requests came from this router.
+func (p *Pool) waitBeyondFirst(cands []upstream.Instance, limitedWaits []time.Duration, requests int) time.Duration {
 	var rate upstream.Rate
 	for _, c := range cands {
 		rate += p.conditions.Limit(c.Run()).Rate
@@ -72,9 +74,9 @@
 	if rate <= 0 {
 		return condition.Never
 	}
-	more := float64(requests-len(single)) / float64(rate)
-	return single[len(single)-1] + time.Duration(min(more, mostOpening.Seconds())*float64(time.Second))
+	more := float64(requests-len(limitedWaits)) / float64(rate)
+	return limitedWaits[len(limitedWaits)-1] + time.Duration(min(more, maxForecast.Seconds())*float64(time.Second))
 }
 
-// mostOpening bounds a forecast in which upstreams open at all.
-const mostOpening = time.Hour
+// maxForecast bounds the forecast unless no upstream will accept requests.
+const maxForecast = time.Hour
--- a/services/balance/opening_test.go
+++ b/services/balance/opening_test.go
@@ -11,7 +11,8 @@
 	"fawnwinch.org/fawnwinch/services/condition"
 )
 
-// TestOpening checks when upstreams are forecast to take requests, by what they say of themselves.
+// TestOpening checks the forecast of when upstreams accept requests, from the conditions that they
+// report.
 func TestOpening(t *testing.T) {
 	limits := func(p *Pool, id upstream.ID, rate upstream.Rate, again time.Duration) {
 		p.Conditions().Note(begin, begin, run(id), upstream.Notice{Limited: true, Limit: rate})
@@ -28,7 +29,7 @@
 		"the second request":             {func(p *Pool) { limits(p, "u0", 1, time.Second); limits(p, "u1", 1, 300*time.Millisecond) }, 2, time.Second},
 		"the sixth request":              {func(p *Pool) { limits(p, "u0", 1, time.Second); limits(p, "u1", 1, 300*time.Millisecond) }, 6, 3 * time.Second},
 		"a limit of nothing":             {func(p *Pool) { limits(p, "u0", 0, time.Second); limits(p, "u1", 0, time.Second) }, 3, condition.Never},
-		"many requests, a limit of next": {func(p *Pool) { limits(p, "u0", 1e-12, time.Second); limits(p, "u1", 0, time.Second) }, 3, time.Second + mostOpening},
+		"many requests, a limit of next": {func(p *Pool) { limits(p, "u0", 1e-12, time.Second); limits(p, "u1", 0, time.Second) }, 3, time.Second + maxForecast},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/services/balance/places.go
+++ b/services/balance/places.go
@@ -10,93 +10,101 @@
 	"fawnwinch.org/fawnwinch/models/vm"
 )
 
-// Places tells a router, for the address of each rank, how many requests it may send there until the next report.
+// Places maps rank addresses to the number of requests that a router may send there until the next
+// report.
 type Places map[string]int
 
-// Wish is how many requests a router would like to send until the next report.
-type Wish struct {
+// Demand is the number of requests that a router wants to send until the next report.
+type Demand struct {
 	Router     string
 	Requests   int
 	DataCentre vm.DataCentre
-	// Most bounds the requests that the router may send to some ranks, by what those say of themselves; others have no such bound.
+	// Most limits the requests to some ranks, by the limits that these ranks report; others are
+	// unlimited.
 	Most Most
-	// Resting holds the addresses of the ranks that have turned the router away.
+	// Resting holds the addresses of the ranks that have asked the router to back off.
 	Resting []string
 }
 
-// Most bounds, for the addresses of some ranks, the requests that a router may send there until the next report, whatever room there is.
+// Most limits the requests that a router may send to some ranks until the next report, by rank
+// address. It applies even if the ranks have room.
 type Most map[string]int
 
-// allows reports whether a router that was given places may have one more at a rank.
-func (m Most) allows(address string, given Places) bool {
-	most, bound := m[address]
-	return !bound || given[address] < most
+// allows reports whether a router with the given allotment may get one more request at a rank.
+func (m Most) allows(address string, allotted Places) bool {
+	limit, limited := m[address]
+	return !limited || allotted[address] < limit
 }
 
-// Bounds bounds the requests of a group.
+// Bounds limits the requests of a group.
 type Bounds struct {
-	// Rank is the number that a rank may have, and Mean the number that ranks may have on average.
+	// Rank is the limit for each rank, and Mean the limit for the average over ranks.
 	Rank, Mean int
-	// Unstarted is the number of them whose prompts a rank may still have to read; 0 means any number.
+	// Unstarted is the limit for requests at a rank whose prompts are still to be read; 0 means no
+	// limit.
 	Unstarted int
 }
 
-// Allotter parts the free places of a group's ranks among the routers. Reports are some passes old when
-// the next one comes: routers that went by them alone would all send to the same ranks, where requests
-// then wait although others have room. It does no I/O and reads no clock.
+// Allotter divides the free capacity of a group's ranks among the routers. The next report arrives
+// several passes later. Routers that used only the report would all send to the same ranks, where
+// requests would wait although other ranks have room. It does no I/O and reads no clock.
 type Allotter struct {
-	// credit holds what each router was promised and not given so far, in places of a data centre's ranks.
-	credit map[holder]float64
+	// credit holds the fractional shares that each router has earned and not yet received, by data
+	// centre of the ranks.
+	credit map[creditKey]float64
 }
 
-// holder is a router that is promised places of the ranks in a data centre.
-type holder struct {
-	router string
-	at     vm.DataCentre
+// creditKey identifies a router's credit for ranks in a data centre.
+type creditKey struct {
+	router     string
+	dataCentre vm.DataCentre
 }
 
-// NewAllotter returns an allotter that has promised nothing.
-func NewAllotter() *Allotter { return &Allotter{credit: map[holder]float64{}} }
+// NewAllotter returns an allotter without credits.
+func NewAllotter() *Allotter { return &Allotter{credit: map[creditKey]float64{}} }
 
-// farShare is what a wish for places in another data centre counts against one from the same. Routers have places
-// in both, so that a data centre with more callers than its ranks can take gets on; bytes between them are paid for.
-const farShare = 0.25
+// remoteWeight is the weight of demand from another data centre, relative to demand from the same
+// one. Routers get allotments in both, so that a data centre with more callers than its ranks can
+// serve makes progress; traffic between data centres is billed.
+const remoteWeight = 0.25
 
-// Allot returns the places of each router. Given holds those of earlier reports that may be in use by now, and most bounds the places at some ranks
-// for all routers together. Routers get places as they wish for them, but each a little: what they know of their callers is old too.
-func (a *Allotter) Allot(ranks []RankLoad, b Bounds, given Places, wishes []Wish, most Most) map[string]Places {
+// Allot returns the allotment of each router. Outstanding holds earlier allotments that may be in
+// use by now, and caps limits the allotments at some ranks for all routers together. Routers get
+// allotments in proportion to their demand, but each gets some: their demand figures are old as
+// well.
+func (a *Allotter) Allot(ranks []RankLoad, b Bounds, outstanding Places, demands []Demand, caps Most) map[string]Places {
 	out := map[string]Places{}
-	for _, w := range wishes {
-		out[w.Router] = Places{}
+	for _, d := range demands {
+		out[d.Router] = Places{}
 	}
-	if len(wishes) == 0 || len(ranks) == 0 {
+	if len(demands) == 0 || len(ranks) == 0 {
 		return out
 	}
-	a.forget(wishes)
+	a.prune(demands)
 	loads := make([]float64, len(ranks))
 	unstarted := make([]int, len(ranks))
 	left := float64(b.Mean * len(ranks))
 	for i, r := range ranks {
-		loads[i] = float64(r.requests() + given[r.Address])
-		unstarted[i] = max(r.Waiting, r.Unstarted) + given[r.Address]
+		loads[i] = float64(r.requests() + outstanding[r.Address])
+		unstarted[i] = max(r.Waiting, r.Unstarted) + outstanding[r.Address]
 		left -= loads[i]
 	}
-	spare := sparesSlow(ranks)
-	parted := Places{}
+	skipSlow := canSkipSlow(ranks)
+	allotted := Places{}
 	for left >= 1 {
-		i := leastLoaded(ranks, loads, unstarted, b, spare)
+		i := leastLoaded(ranks, loads, unstarted, b, skipSlow)
 		if i < 0 {
 			break
 		}
 		router := ""
-		if most.allows(ranks[i].Address, parted) {
-			router = a.next(wishes, &ranks[i], out)
+		if caps.allows(ranks[i].Address, allotted) {
+			router = a.next(demands, &ranks[i], out)
 		}
 		if router == "" {
-			loads[i] = math.Inf(1) // nobody may send there
+			loads[i] = math.Inf(1) // no router may send there
 			continue
 		}
-		parted[ranks[i].Address]++
+		allotted[ranks[i].Address]++
 		loads[i]++
 		unstarted[i]++
 		left--
@@ -105,41 +113,44 @@
 	return out
 }
 
-// requests returns the requests at a rank. Those that routers have sent last are not yet in its own count.
+// requests returns the requests at a rank. The rank's own count does not include the latest sends
+// of routers.
 func (r *RankLoad) requests() int { return r.Running + max(r.Waiting, r.Unstarted) }
 
 const (
-	// slowPace is how many times longer than usual a rank takes that gets no requests while the others are as usual.
-	// A prompt of 800 tokens takes 13 ms to read, and 65 ms at a rank that is five times slower: all streams of the group wait
-	// for it. Seen with one such rank of 12: worth 0.65 with requests, 0.71 and 0.72 without.
+	// slowPace is the pace from which a rank gets no requests while the others have normal pace. A
+	// prompt of 800 tokens takes 13 ms to read, and 65 ms at a rank that is five times slower: all
+	// streams of the group wait for it. With one such rank of 12 the credit was 0.65 with requests
+	// to it, and 0.71 and 0.72 without.
 	slowPace = 2.0
-	// slowPart is the part of the ranks that may be left without requests for that.
-	slowPart = 1.0 / 3
+	// maxSlowFraction is the largest fraction of the ranks that may be skipped for this reason.
+	maxSlowFraction = 1.0 / 3
 )
 
-// slow reports whether a rank takes much longer than usual.
+// slow reports whether a rank takes much longer than normal.
 func (r *RankLoad) slow() bool { return r.Pace >= slowPace }
 
-// sparesSlow reports whether the ranks that are slow are so few that the others can do without them.
-func sparesSlow(ranks []RankLoad) bool {
+// canSkipSlow reports whether the slow ranks are few enough to skip them.
+func canSkipSlow(ranks []RankLoad) bool {
 	slow := 0
 	for i := range ranks {
 		if ranks[i].slow() {
 			slow++
 		}
 	}
-	return float64(slow) <= slowPart*float64(len(ranks))
+	return float64(slow) <= maxSlowFraction*float64(len(ranks))
 }
 
-// leastLoaded returns the rank that gets the next place, or -1 if there is none. A stream at a slow rank makes the
-// pass longer for all: it counts for more there, and if slow ranks are to be spared they get none.
-func leastLoaded(ranks []RankLoad, loads []float64, unstarted []int, b Bounds, spare bool) int {
+// leastLoaded returns the rank for the next allotted request, or -1 if there is none. A stream at a
+// slow rank makes the pass longer for all ranks, so its load is weighted by the pace; with
+// skipSlow, slow ranks get none.
+func leastLoaded(ranks []RankLoad, loads []float64, unstarted []int, b Bounds, skipSlow bool) int {
 	best, bestLoad := -1, math.Inf(1)
 	for i := range ranks {
-		if loads[i] >= float64(b.Rank) || spare && ranks[i].slow() || b.Unstarted > 0 && unstarted[i] >= b.Unstarted {
+		if loads[i] >= float64(b.Rank) || skipSlow && ranks[i].slow() || b.Unstarted > 0 && unstarted[i] >= b.Unstarted {
 			continue
 		}
-		load := (loads[i] + readWeight*float64(max(ranks[i].Waiting, ranks[i].Unstarted))) * max(ranks[i].Pace, 1)
+		load := (loads[i] + unstartedWeight*float64(max(ranks[i].Waiting, ranks[i].Unstarted))) * max(ranks[i].Pace, 1)
 		if load < bestLoad {
 			best, bestLoad = i, load
 		}
@@ -147,33 +158,35 @@
 	return best
 }
 
-// share returns the weight of a wish for places in a data centre. A router that wishes for nothing has one too.
-func (w Wish) share(at vm.DataCentre) float64 {
-	share := float64(w.Requests + 1)
-	if w.DataCentre != at {
-		share *= farShare
+// weight returns the weight of a router's demand for ranks in a data centre. A router without
+// demand has a small weight too.
+func (d Demand) weight(at vm.DataCentre) float64 {
+	weight := float64(d.Requests + 1)
+	if d.DataCentre != at {
+		weight *= remoteWeight
 	}
-	return share
+	return weight
 }
 
-// next returns the router that gets the next place at a rank, given what each has got; "" if none may send there.
-func (a *Allotter) next(wishes []Wish, rank *RankLoad, given map[string]Places) string {
+// next returns the router that gets the next request at a rank, based on the allotments so far; ""
+// if none may send there.
+func (a *Allotter) next(demands []Demand, rank *RankLoad, allotted map[string]Places) string {
 	at := rank.DataCentre
-	wanted := 0.0
-	for _, w := range wishes {
-		if w.Most.allows(rank.Address, given[w.Router]) {
-			wanted += w.share(at)
+	total := 0.0
+	for _, d := range demands {
+		if d.Most.allows(rank.Address, allotted[d.Router]) {
+			total += d.weight(at)
 		}
 	}
-	best := holder{}
-	for _, w := range wishes {
-		if !w.Most.allows(rank.Address, given[w.Router]) {
+	best := creditKey{}
+	for _, d := range demands {
+		if !d.Most.allows(rank.Address, allotted[d.Router]) {
 			continue
 		}
-		h := holder{router: w.Router, at: at}
-		a.credit[h] += w.share(at) / wanted
-		if best.router == "" || a.credit[h] > a.credit[best] {
-			best = h
+		key := creditKey{router: d.Router, dataCentre: at}
+		a.credit[key] += d.weight(at) / total
+		if best.router == "" || a.credit[key] > a.credit[best] {
+			best = key
 		}
 	}
 	if best.router != "" {
@@ -182,11 +195,11 @@
 	return best.router
 }
 
-// forget drops routers that are no longer there.
-func (a *Allotter) forget(wishes []Wish) {
-	for h := range a.credit {
-		if !slices.ContainsFunc(wishes, func(w Wish) bool { return w.Router == h.router }) {
-			delete(a.credit, h)
+// prune drops the credits of routers that are no longer present.
+func (a *Allotter) prune(demands []Demand) {
+	for key := range a.credit {
+		if !slices.ContainsFunc(demands, func(d Demand) bool { return d.Router == key.router }) {
+			delete(a.credit, key)
 		}
 	}
 }
--- a/services/balance/places_test.go
+++ b/services/balance/places_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// TestAllot checks how many places are given out, and at which ranks.
+// TestAllot checks how many requests are allotted, and at which ranks.
 func TestAllot(t *testing.T) {
 	cases := map[string]struct {
-		ranks  []RankLoad
-		bounds Bounds
-		given  Places
-		want   Places
+		ranks       []RankLoad
+		bounds      Bounds
+		outstanding Places
+		want        Places
 	}{
 		"empty ranks get up to the mean":            {[]RankLoad{{Address: "a"}, {Address: "b"}}, Bounds{Rank: 5, Mean: 3}, nil, Places{"a": 3, "b": 3}},
 		"the emptier rank gets more":                {[]RankLoad{{Address: "a", Running: 4}, {Address: "b"}}, Bounds{Rank: 5, Mean: 3}, nil, Places{"b": 2}},
@@ -31,7 +31,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := NewAllotter().Allot(c.ranks, c.bounds, c.given, []Wish{{Router: "r"}}, nil)["r"]
+			got := NewAllotter().Allot(c.ranks, c.bounds, c.outstanding, []Demand{{Router: "r"}}, nil)["r"]
 			if fmt.Sprint(got) != fmt.Sprint(c.want) {
 				t.Errorf("places %v, want %v", got, c.want)
 			}
@@ -39,50 +39,50 @@
 	}
 }
 
-// TestAllotShares checks that routers get places as they wish for them, that none is left without, and that
-// a place that cannot be parted goes to each in turn.
+// TestAllotShares checks that allotments follow demand, that no router is left without, and that a
+// single request is allotted to the routers in rotation.
 func TestAllotShares(t *testing.T) {
 	a := NewAllotter()
 	got := map[string]int{}
-	wishes := []Wish{{Router: "busy", Requests: 17}, {Router: "quiet"}, {Router: "other"}}
+	demands := []Demand{{Router: "busy", Requests: 17}, {Router: "quiet"}, {Router: "other"}}
 	for range 400 {
-		for router, places := range a.Allot([]RankLoad{{Address: "a", Running: 11}}, Bounds{Rank: 12, Mean: 12}, nil, wishes, nil) {
+		for router, places := range a.Allot([]RankLoad{{Address: "a", Running: 11}}, Bounds{Rank: 12, Mean: 12}, nil, demands, nil) {
 			got[router] += places["a"]
 		}
 	}
 	if got["busy"] != 360 || got["quiet"] != 20 || got["other"] != 20 {
 		t.Errorf("400 places were parted %v", got)
 	}
-	a.Allot([]RankLoad{{Address: "a"}}, Bounds{Rank: 12, Mean: 12}, nil, wishes[:1], nil)
+	a.Allot([]RankLoad{{Address: "a"}}, Bounds{Rank: 12, Mean: 12}, nil, demands[:1], nil)
 	if len(a.credit) != 1 {
 		t.Errorf("routers that have gone are remembered: %v", a.credit)
 	}
-	if out := a.Allot(nil, Bounds{Rank: 12, Mean: 12}, nil, wishes, nil); len(out) != 3 || out["quiet"] == nil {
+	if out := a.Allot(nil, Bounds{Rank: 12, Mean: 12}, nil, demands, nil); len(out) != 3 || out["quiet"] == nil {
 		t.Errorf("without ranks routers must be told that they may send nothing: %v", out)
 	}
 }
 
-// TestAllotNear checks that routers get most places in their own data centre, and that those there go to others when
-// nobody near wishes for them.
+// TestAllotNear checks that routers get most allotments in their own data centre, and that remote
+// routers get them if local routers have no demand.
 func TestAllotNear(t *testing.T) {
 	ranks := []RankLoad{{Address: "a", DataCentre: "east"}, {Address: "b", DataCentre: "west"}}
 	cases := map[string]struct {
-		wishes []Wish
-		near   Places
+		demands []Demand
+		near    Places
 	}{
 		"as many callers in both": {
-			[]Wish{{Router: "e", Requests: 9, DataCentre: "east"}, {Router: "w", Requests: 9, DataCentre: "west"}}, Places{"a": 80, "b": 20},
+			[]Demand{{Router: "e", Requests: 9, DataCentre: "east"}, {Router: "w", Requests: 9, DataCentre: "west"}}, Places{"a": 80, "b": 20},
 		},
 		"all callers in one": {
-			[]Wish{{Router: "e", Requests: 99, DataCentre: "east"}, {Router: "w", Requests: 0, DataCentre: "west"}}, Places{"a": 99, "b": 96},
+			[]Demand{{Router: "e", Requests: 99, DataCentre: "east"}, {Router: "w", Requests: 0, DataCentre: "west"}}, Places{"a": 99, "b": 96},
 		},
 		"no router near": {
-			[]Wish{{Router: "e", Requests: 9, DataCentre: "east"}}, Places{"a": 100, "b": 100},
+			[]Demand{{Router: "e", Requests: 9, DataCentre: "east"}}, Places{"a": 100, "b": 100},
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := NewAllotter().Allot(ranks, Bounds{Rank: 100, Mean: 100}, nil, c.wishes, nil)["e"]
+			got := NewAllotter().Allot(ranks, Bounds{Rank: 100, Mean: 100}, nil, c.demands, nil)["e"]
 			for address, want := range c.near {
 				if got[address] < want-1 || got[address] > want+1 {
 					t.Errorf("router e got %v, want about %v", got, c.near)
@@ -92,29 +92,28 @@
 	}
 }
 
-// TestNoQueue lets routers whose callers are more than the ranks take send what they may, and compares the
-// fullest rank with what routers do that judge by themselves: then requests wait at some ranks while
-// others have room.
+// TestNoQueue overloads several routers and compares the fullest rank with and without allotments.
+// Without them requests wait at some ranks while other ranks have room.
 func TestNoQueue(t *testing.T) {
 	const routers, ranks, most = 7, 12, 13
 	play := func(allot bool) (fullest, sent int) {
 		r := rand.New(rand.NewPCG(1, 1))
 		cands, ids := candidates(ranks)
 		pools := make([]*Pool, routers)
-		told := make([]Unstarted, routers)
+		reported := make([]Unstarted, routers)
 		for i := range pools {
 			pools[i] = NewPool("")
 		}
 		running := map[string]int{}
 		allotter := NewAllotter()
-		given := map[int]Places{}
+		outstanding := map[int]Places{}
 		for round := range 60 {
 			now := begin.Add(time.Duration(round) * 70 * time.Millisecond)
 			g := Group{Open: true}
 			for i, c := range cands {
 				l := RankLoad{Address: c.Address, Running: running[c.Address]}
-				for k := range told {
-					l.Unstarted += told[k][c.Address]
+				for k := range reported {
+					l.Unstarted += reported[k][c.Address]
 				}
 				g.Ranks = append(g.Ranks, l)
 				running[c.Address] -= min(running[c.Address], r.IntN(2+i%2)) // some answers end
@@ -122,29 +121,29 @@
 			var places map[string]Places
 			if allot {
 				before := Places{}
-				wishes := make([]Wish, routers)
+				demands := make([]Demand, routers)
 				for k := range routers {
-					wishes[k] = Wish{Router: fmt.Sprint(k), Requests: 5}
-					for address, n := range given[k] {
+					demands[k] = Demand{Router: fmt.Sprint(k), Requests: 5}
+					for address, n := range outstanding[k] {
 						before[address] += n
 					}
 				}
-				places = allotter.Allot(g.Ranks, Bounds{Rank: most, Mean: most}, before, wishes, nil)
+				places = allotter.Allot(g.Ranks, Bounds{Rank: most, Mean: most}, before, demands, nil)
 			}
 			for k, p := range pools {
 				report := g
 				report.Places = places[fmt.Sprint(k)]
-				told[k] = p.Report(now, report, ids)
-				given[k] = report.Places
+				reported[k] = p.Report(now, report, ids)
+				outstanding[k] = report.Places
 			}
-			for range 40 { // many callers at each router, one after the other
+			for range 40 { // many callers at each router, one after another
 				p := pools[r.IntN(routers)]
 				if u, ok := p.Pick(now, cands, Ask{Engine: engine, Bounds: Bounds{Rank: most, Mean: most}, Routers: routers}); ok {
 					p.Sent(begin, u.Run())
 					sent++
 				}
 			}
-			for _, c := range cands { // half of what was sent begins before the next report
+			for _, c := range cands { // half of the sent requests start before the next report
 				requests := running[c.Address]
 				for _, p := range pools {
 					requests += p.state(c.Run()).unstarted
@@ -168,11 +167,11 @@
 	}
 }
 
-// TestSlowRanks checks that ranks that take much longer get no requests, unless too many of them do.
+// TestSlowRanks checks that slow ranks get no requests, unless too many ranks are slow.
 func TestSlowRanks(t *testing.T) {
 	cases := map[string]struct {
 		paces []float64
-		// want is the places of each rank.
+		// want is the allotment of each rank.
 		want []int
 	}{
 		"all as usual":         {[]float64{1, 1, 1, 1}, []int{2, 2, 2, 2}},
@@ -187,7 +186,7 @@
 			for i, pace := range tc.paces {
 				ranks = append(ranks, RankLoad{Address: string(rune('a' + i)), Pace: pace})
 			}
-			places := NewAllotter().Allot(ranks, Bounds{Rank: 2, Mean: 2}, Places{}, []Wish{{Router: "r", Requests: 9}}, nil)["r"]
+			places := NewAllotter().Allot(ranks, Bounds{Rank: 2, Mean: 2}, Places{}, []Demand{{Router: "r", Requests: 9}}, nil)["r"]
 			for i, r := range ranks {
 				if places[r.Address] != tc.want[i] {
 					t.Errorf("rank %d gets %d places, want %d", i, places[r.Address], tc.want[i])
@@ -197,23 +196,24 @@
 	}
 }
 
-// TestAllotMost checks that routers get no places at ranks to which they may not send, and that their share is not lost there.
+// TestAllotMost checks that routers get no allotments at ranks to which they may not send, and that
+// this capacity goes to other routers.
 func TestAllotMost(t *testing.T) {
 	ranks := []RankLoad{{Address: "a"}, {Address: "b", Running: 2}}
 	cases := map[string]struct {
-		wishes []Wish
-		want   map[string]Places
+		demands []Demand
+		want    map[string]Places
 	}{
-		"no bound":                  {[]Wish{{Router: "r"}}, map[string]Places{"r": {"a": 4, "b": 2}}},
-		"nothing at the emptier":    {[]Wish{{Router: "r", Most: Most{"a": 0}}}, map[string]Places{"r": {"b": 3}}},
-		"one at the emptier":        {[]Wish{{Router: "r", Most: Most{"a": 1}}}, map[string]Places{"r": {"a": 1, "b": 3}}},
-		"nothing for one of two":    {[]Wish{{Router: "r", Most: Most{"a": 0}}, {Router: "s"}}, map[string]Places{"r": {"b": 1}, "s": {"a": 4, "b": 1}}},
-		"nothing for both":          {[]Wish{{Router: "r", Most: Most{"a": 0, "b": 0}}, {Router: "s", Most: Most{"a": 0, "b": 0}}}, map[string]Places{"r": {}, "s": {}}},
-		"one each for both of them": {[]Wish{{Router: "r", Most: Most{"a": 1, "b": 0}}, {Router: "s", Most: Most{"a": 1, "b": 0}}}, map[string]Places{"r": {"a": 1}, "s": {"a": 1}}},
+		"no bound":                  {[]Demand{{Router: "r"}}, map[string]Places{"r": {"a": 4, "b": 2}}},
+		"nothing at the emptier":    {[]Demand{{Router: "r", Most: Most{"a": 0}}}, map[string]Places{"r": {"b": 3}}},
+		"one at the emptier":        {[]Demand{{Router: "r", Most: Most{"a": 1}}}, map[string]Places{"r": {"a": 1, "b": 3}}},
+		"nothing for one of two":    {[]Demand{{Router: "r", Most: Most{"a": 0}}, {Router: "s"}}, map[string]Places{"r": {"b": 1}, "s": {"a": 4, "b": 1}}},
+		"nothing for both":          {[]Demand{{Router: "r", Most: Most{"a": 0, "b": 0}}, {Router: "s", Most: Most{"a": 0, "b": 0}}}, map[string]Places{"r": {}, "s": {}}},
+		"one each for both of them": {[]Demand{{Router: "r", Most: Most{"a": 1, "b": 0}}, {Router: "s", Most: Most{"a": 1, "b": 0}}}, map[string]Places{"r": {"a": 1}, "s": {"a": 1}}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := NewAllotter().Allot(ranks, Bounds{Rank: 5, Mean: 4}, nil, c.wishes, nil)
+			got := NewAllotter().Allot(ranks, Bounds{Rank: 5, Mean: 4}, nil, c.demands, nil)
 			if fmt.Sprint(got) != fmt.Sprint(c.want) {
 				t.Errorf("places %v, want %v", got, c.want)
 			}
--- a/services/balance/pool.go
+++ b/services/balance/pool.go
@@ -15,76 +15,85 @@
 	"fawnwinch.org/fawnwinch/services/condition"
 )
 
-// Result tells how an attempt at an upstream ended.
+// Result is the outcome of an attempt at an upstream.
 type Result string
 
 // The results of an attempt.
 const (
-	// ResultOK is an answer, also a late one.
+	// ResultOK is a successful answer, including a late one.
 	ResultOK Result = "ok"
-	// ResultError is an answer that says the upstream failed.
+	// ResultError is an answer that reports a failure of the upstream.
 	ResultError Result = "error"
-	// ResultBroken is a connection that broke off, or an answer that was none.
+	// ResultBroken is a connection that was lost, or a malformed answer.
 	ResultBroken Result = "broken"
-	// ResultUnreached is a connection that never came up.
+	// ResultUnreached is a connection that could not be established.
 	ResultUnreached Result = "unreached"
 	// ResultFull is an answer that the upstream did not run the request.
 	ResultFull Result = "full"
-	// ResultStranger is an answer that another upstream has the address.
+	// ResultStranger is an answer from a different instance that now has the address.
 	ResultStranger Result = "stranger"
-	// ResultCancelled is an attempt that the router ended because the caller left.
+	// ResultCancelled is an attempt that the router ended because the caller disconnected.
 	ResultCancelled Result = "cancelled"
-	// ResultUnsent is an attempt that ended before anything was sent, through no fault of the upstream.
+	// ResultUnsent is an attempt that ended before anything was sent, without a fault of the
+	// upstream.
 	ResultUnsent Result = "unsent"
 )
 
 const (
-	// errorHalfLife is the time in which a past failure counts half. A replica that fails part of its
-	// requests gets about two requests in that time; so most are known before the next comes.
+	// errorHalfLife is the time after which a past failure has half its weight. A replica that
+	// fails part of its requests gets about two requests in that time, so most such replicas are
+	// known before their next request.
 	errorHalfLife = 2500 * time.Millisecond
-	// errorKeep is the weight of the past in the rate of failures: two failures in a row make it a half.
-	errorKeep = 0.7
-	// errorWeight is how many waiting requests a failure rate of 1 counts for.
+	// errorDecay is the smoothing factor of the failure rate: two failures in a row raise it to
+	// about a half.
+	errorDecay = 0.7
+	// errorWeight is the number of waiting requests that a failure rate of 1 is equivalent to.
 	errorWeight = 8.0
-	// reportValid is how long a reported load counts, and reportsMissed for how many of the times between two reports it does
-	// in any case: those of a slow coordinator come late, and are still better than nothing.
-	reportValid   = 700 * time.Millisecond
-	reportsMissed = 2.5
-	// freshFor is how long the loads of a report tell where to send: about three times that from one to the next. In
-	// replays of a calm group with reports that are a second old, of routers that go by their loads 0.86 of what is owed
-	// is earned, and of routers that go by what they have sent 0.99.
+	// reportValid is how long a reported load is used at least. It is used for reportValidIntervals
+	// times the interval between two reports if that is longer: a slow coordinator reports late,
+	// and an old report is better than none.
+	reportValid          = 700 * time.Millisecond
+	reportValidIntervals = 2.5
+	// freshFor is how long the reported load decides where requests are sent: about three report
+	// intervals. In replays of a calm group with reports that are one second old, routers that use
+	// the reported loads earn 0.86 of the possible credit, and routers that use their own sends
+	// earn 0.99.
 	freshFor = 250 * time.Millisecond
-	// reportValidMost bounds that: a router that was idle hears of a group now and then only.
-	reportValidMost = 4 * time.Second
-	// latencyKeep is the weight of the past in the mean time of an answer.
-	latencyKeep = 0.8
-	// farPenalty is what another data centre counts for, as a part of a waiting request: bytes between
-	// data centres are paid for, and take longer.
-	farPenalty = 0.4
-	// farRequests is the same for ranks, in requests: one more at each rank makes a pass longer by a twentieth.
-	farRequests = 2.0
+	// maxReportValid bounds the validity of a report: an idle router receives reports of a group
+	// only occasionally.
+	maxReportValid = 4 * time.Second
+	// latencyDecay is the smoothing factor of the mean answer time.
+	latencyDecay = 0.8
+	// remotePenalty is the cost of another data centre, as a fraction of a waiting request: traffic
+	// between data centres is billed and takes longer.
+	remotePenalty = 0.4
+	// remoteRequests is the same cost for ranks, in requests: one more request at each rank makes a
+	// pass longer by a twentieth.
+	remoteRequests = 2.0
 )
 
-// state is what a router knows of one upstream by its own requests and by reports.
+// state is a router's record of one upstream, from its own requests and from reports.
 type state struct {
 	inFlight int
-	// unstarted counts this router's requests whose answer has not begun; told is what the coordinator
-	// was last told of them, and known the part of the report that rests on that.
-	unstarted, told, known int
-	// begun and ended count this router's answers that have begun and ended since the report.
-	begun, ended int
-	report       RankLoad
-	// places is how many requests the report lets this router send; allotted says that it tells so at all.
+	// unstarted counts this router's requests whose answers have not begun. lastReported is the
+	// count last reported to the coordinator, and counted is the part of the latest report that
+	// comes from this router.
+	unstarted, lastReported, counted int
+	// started and ended count this router's answers that have started and ended since the report.
+	started, ended int
+	report         RankLoad
+	// places is the number of requests that the report still allows this router to send. allotted
+	// reports whether the report sets places at all.
 	places   int
 	allotted bool
-	// group is the group of a rank, once it was reported.
+	// group is the rank's group, set by the first report.
 	group group.ID
-	// valid is how long the report counts.
+	// valid is how long the report is used.
 	reportedAt time.Time
 	valid      time.Duration
 	errors     float64
 	errorsAt   time.Time
-	// latency is the mean time of an answer in seconds, or 0.
+	// latency is the mean answer time in seconds; 0 if unknown.
 	latency float64
 }
 
@@ -92,74 +101,76 @@
 	return s.errors * math.Exp2(-now.Sub(s.errorsAt).Seconds()/errorHalfLife.Seconds())
 }
 
-func (s *state) note(now time.Time, failed bool) {
+func (s *state) recordResult(now time.Time, failed bool) {
 	rate := s.errorRate(now)
-	hit := 0.0
+	sample := 0.0
 	if failed {
-		hit = 1
+		sample = 1
 	}
-	s.errors, s.errorsAt = errorKeep*rate+(1-errorKeep)*hit, now
+	s.errors, s.errorsAt = errorDecay*rate+(1-errorDecay)*sample, now
 }
 
-// Pool holds a router's view of the upstreams of one service, by their runs: requests that were sent to an earlier run, its
-// failures and its load do not count for the one that has started since. It does no I/O and reads no clock.
+// Pool holds a router's view of the upstreams of one service, keyed by run: requests, failures and
+// load of an earlier run do not count for the current one. It does no I/O and reads no clock.
 type Pool struct {
-	here vm.DataCentre
-	ups  map[upstream.Run]*state
-	// conditions holds what the upstreams say of themselves.
+	dataCentre vm.DataCentre
+	states     map[upstream.Run]*state
+	// conditions holds the conditions that the upstreams report in their answers.
 	conditions *condition.Register
 	// groups holds the latest report of each group of the service.
-	groups map[group.ID]groupReport
-	turn   int
-	// fullAt is when an upstream last said that it did not run a request, and begunAt when one last began an answer.
-	fullAt, begunAt time.Time
-	// chance draws a number from 0 to 1.
-	chance func() float64
+	groups   map[group.ID]groupReport
+	rotation int
+	// rejectedAt is when an upstream last answered that it did not run a request, and startedAt
+	// when an answer last began.
+	rejectedAt, startedAt time.Time
+	// random returns a number in [0, 1).
+	random func() float64
 }
 
-// NewPool returns the view of a router in a data centre.
-func NewPool(here vm.DataCentre) *Pool {
-	return &Pool{here: here, ups: map[upstream.Run]*state{}, conditions: condition.NewRegister(), groups: map[group.ID]groupReport{}, chance: rand.Float64}
+// NewPool returns an empty pool for a router in a data centre.
+func NewPool(dataCentre vm.DataCentre) *Pool {
+	return &Pool{dataCentre: dataCentre, states: map[upstream.Run]*state{}, conditions: condition.NewRegister(), groups: map[group.ID]groupReport{}, random: rand.Float64}
 }
 
-// Conditions returns what the upstreams say of themselves.
+// Conditions returns the conditions that the upstreams report in their answers.
 func (p *Pool) Conditions() *condition.Register { return p.conditions }
 
-// DrawBy has numbers from 0 to 1 drawn by a function, so that choices repeat.
-func (p *Pool) DrawBy(chance func() float64) { p.chance = chance }
+// DrawBy sets the source of random numbers in [0, 1), so that choices are reproducible.
+func (p *Pool) DrawBy(random func() float64) { p.random = random }
 
 func (p *Pool) state(id upstream.Run) *state {
-	s, ok := p.ups[id]
+	s, ok := p.states[id]
 	if !ok {
 		s = &state{}
-		p.ups[id] = s
+		p.states[id] = s
 	}
 	return s
 }
 
-// reported reports whether a coordinator has told of the upstream lately, and fresh whether so lately that the load that was
-// told may be gone by.
+// reported reports whether a coordinator has reported the upstream within the validity of its
+// report. fresh reports whether the report is recent enough to use its load.
 func (s *state) reported(now time.Time) bool { return now.Sub(s.reportedAt) < s.valid }
 func (s *state) fresh(now time.Time) bool    { return now.Sub(s.reportedAt) < freshFor }
 
-// notBegun estimates the requests of all routers whose answers have not begun.
-func (s *state) notBegun() int { return max(s.report.Unstarted-s.known, 0) + s.unstarted }
+// allUnstarted estimates the requests of all routers whose answers have not begun.
+func (s *state) allUnstarted() int { return max(s.report.Unstarted-s.counted, 0) + s.unstarted }
 
 // load estimates the requests at an upstream. Routers is the number of routers that send to it.
 func (p *Pool) load(now time.Time, s *state, routers int) float64 {
 	if s.fresh(now) {
-		return float64(max(s.report.Running+s.begun-s.ended, 0) + max(s.report.Waiting, s.notBegun()))
+		return float64(max(s.report.Running+s.started-s.ended, 0) + max(s.report.Waiting, s.allUnstarted()))
 	}
 	return float64(s.inFlight * max(routers, 1))
 }
 
-// Ask is what a request wants of a pool.
+// Ask holds the requirements of a request for an upstream.
 type Ask struct {
 	// Engine is nil for plain services.
 	Engine *catalog.Engine
-	// Bounds holds for each upstream and for their mean; beyond it the request waits. 0 means any number.
+	// Bounds applies to each upstream and to their mean; above it the request waits. 0 means no
+	// bound.
 	Bounds Bounds
-	// Leaderless holds for ranks of which nobody tells while coordinators tell of others.
+	// Leaderless applies to ranks without a report while coordinators report others.
 	Leaderless Bounds
 	Routers    int
 	Exclude    map[upstream.ID]bool
@@ -168,13 +179,13 @@
 // Pick returns the upstream with the least load, or false if none has room.
 func (p *Pool) Pick(now time.Time, cands []upstream.Instance, a Ask) (upstream.Instance, bool) {
 	best, bestScore := -1, math.Inf(1)
-	p.turn++
+	p.rotation++
 	if a.Bounds.Mean > 0 && !p.allotted(now, cands) && p.total(now, cands, a.Routers) >= float64(a.Bounds.Mean*len(cands)) {
 		return upstream.Instance{}, false
 	}
-	v := p.view(now, cands, a)
+	v := p.estimator(now, cands, a)
 	for k := range cands {
-		i := (k + p.turn) % len(cands)
+		i := (k + p.rotation) % len(cands)
 		c := cands[i]
 		s := p.state(c.Run())
 		if a.Exclude[c.ID] || p.broken(now, s) {
@@ -197,22 +208,24 @@
 	return cands[best], true
 }
 
-// view is what a router reckons with at upstreams whose load is not told.
-type view struct {
+// estimator estimates the load of upstreams without a fresh report.
+type estimator struct {
 	ask Ask
-	// mixed says that coordinators tell of some of the upstreams, and not of others.
+	// mixed reports whether only some of the upstreams have a fresh report.
 	mixed bool
-	// others estimates the requests of other routers at each upstream that is not told of, if they have as many as this one, and
-	// mean those of all.
+	// others estimates the requests of other routers at each upstream without a fresh report,
+	// assuming that each router has as many as this one. mean is the same estimate with this router
+	// included.
 	others, mean float64
-	// weight is what a request counts for where the group is taken to be on its first map, against one at a rank that is told of.
+	// weight is the cost of a request in a group that is assumed to be on its first map, relative
+	// to one at a reported rank.
 	weight float64
 }
 
-// view returns what a request goes by at upstreams whose load is not told. Where nobody tells of any, that is by what this router
-// has sent to each: it is in the same case with all of them.
-func (p *Pool) view(now time.Time, cands []upstream.Instance, a Ask) view {
-	v := view{ask: a, weight: 1}
+// estimator returns the load estimator for a request. If no upstream has a fresh report, the
+// estimate is based on this router's own sends, which are equally incomplete for all of them.
+func (p *Pool) estimator(now time.Time, cands []upstream.Instance, a Ask) estimator {
+	v := estimator{ask: a, weight: 1}
 	stale, own := 0, 0
 	for _, c := range cands {
 		if s := p.state(c.Run()); !s.fresh(now) {
@@ -229,11 +242,12 @@
 	return v
 }
 
-// load estimates the requests at an upstream. One of many routers has nothing in flight at most ranks: next to ranks that are
-// told of, those of a group that nobody tells of would all be taken for idle, and all routers would send there first. So the mean of the
-// group goes before what this router has sent to the rank. In replays of 31 routers and three groups of 24 ranks, one of them not led, 1.00 of
-// a calm load's worth is had with it and 0.37 without.
-func (v *view) load(now time.Time, p *Pool, s *state) float64 {
+// load estimates the requests at an upstream. One of many routers has nothing in flight at most
+// ranks. Next to reported ranks, those of an unreported group would all look idle, and all routers
+// would send there first. So the mean of the group is added to this router's sends to the rank. In
+// replays of 31 routers and three groups of 24 ranks, one of them without a leader, this earns 1.00
+// of the credit of a calm load, and 0.37 without it.
+func (v *estimator) load(now time.Time, p *Pool, s *state) float64 {
 	switch {
 	case !v.mixed || s.fresh(now):
 		return p.load(now, s, v.ask.Routers)
@@ -244,19 +258,21 @@
 	}
 }
 
-// limit returns the number of requests that an upstream may have. A group that nobody leads stays on its first map, or on one that demand
-// has left: with as many streams as the others its passes go beyond the goal. In the same replays, with half as much load again, 1.00 with a
-// limit by the skew of a first map and 0.88 with that of the others.
-func (v *view) limit(now time.Time, s *state) int {
+// limit returns the number of requests that an upstream may have. A group without a leader stays on
+// its first map, or on a map that no longer fits the demand: with as many streams as the others its
+// passes exceed the goal. In the same replays with half as much load again, a limit based on the
+// skew of a first map earns 1.00, and the limit of the other groups 0.88.
+func (v *estimator) limit(now time.Time, s *state) int {
 	if v.mixed && !s.reported(now) && v.ask.Leaderless.Mean > 0 {
 		return v.ask.Leaderless.Mean
 	}
 	return v.ask.Bounds.Rank
 }
 
-// room reports whether an upstream with a load may get one more request of this router. Without a fresh report that goes
-// by what the router has sent there, and by what others are thought to have. A router that waited for the report of a
-// slow coordinator would leave ranks idle, and one that went by an old one would send where all others do.
+// room reports whether an upstream may get one more request of this router. Without a fresh report
+// this depends on the router's own sends and on the estimated requests of other routers. A router
+// that waited for a slow coordinator's report would leave ranks idle, and one that used an old
+// report would send where all others do.
 func (s *state) room(now time.Time, load, others float64, limit int) bool {
 	switch {
 	case s.allotted && s.reported(now) && s.places > 0:
@@ -272,7 +288,7 @@
 	}
 }
 
-// allotted reports whether a coordinator has lately told this router what it may send.
+// allotted reports whether a fresh report sets how many requests this router may send.
 func (p *Pool) allotted(now time.Time, cands []upstream.Instance) bool {
 	for _, c := range cands {
 		if s := p.state(c.Run()); s.allotted && s.fresh(now) {
@@ -294,36 +310,40 @@
 func (p *Pool) score(now time.Time, s *state, c upstream.Instance, load float64, group bool) float64 {
 	score := load + errorWeight*s.errorRate(now)
 	if !group {
-		// Plain upstreams work at their own speed: what waits there takes as long as what went before.
-		score = (score + 1) * (s.latency + plainFloor)
-		if c.DataCentre != p.here {
-			score *= 1 + farPenalty
+		// A plain upstream works at its own speed: each waiting request takes as long as those
+		// before it.
+		score = (score + 1) * (s.latency + latencyFloor)
+		if c.DataCentre != p.dataCentre {
+			score *= 1 + remotePenalty
 		}
 		return score
 	}
 	if s.fresh(now) {
-		score += readWeight * float64(s.notBegun())
+		score += unstartedWeight * float64(s.allUnstarted())
 	}
-	// A stream at a slow rank makes the pass longer for all; a fuller rank of usual pace does not.
+	// A stream at a slow rank makes the pass longer for all ranks; a fuller rank of normal pace
+	// does not.
 	score *= max(s.report.Pace, 1)
-	if c.DataCentre != p.here {
-		score += farRequests
+	if c.DataCentre != p.dataCentre {
+		score += remoteRequests
 	}
-	return score + herdSpread*p.chance()
+	return score + scoreJitter*p.random()
 }
 
-// readWeight is how many streams a request that has not begun counts for beyond itself: its prompt is being
-// read, and two prompts that one rank reads in a pass make that pass longer for all.
-const readWeight = 1.5
+// unstartedWeight is the number of additional streams that a request whose answer has not begun is
+// equivalent to. Its prompt is being read, and two prompts that one rank reads in a pass make that
+// pass longer for all.
+const unstartedWeight = 1.5
 
-// herdSpread is how many requests a choice may be off the least loaded rank, so that routers with the
-// same report do not all choose the same one.
-const herdSpread = 1.5
+// scoreJitter is the largest random addition to a rank's score, in requests, so that routers with
+// the same report do not all choose the same rank.
+const scoreJitter = 1.5
 
-// plainFloor is added to the mean time of answers in seconds, so that small differences do not decide.
-const plainFloor = 0.05
+// latencyFloor is added to the mean answer time in seconds, so that small differences do not
+// decide.
+const latencyFloor = 0.05
 
-// Sent notes the begin of an attempt.
+// Sent records the start of an attempt.
 func (p *Pool) Sent(now time.Time, id upstream.Run) {
 	p.conditions.Choose(now, id)
 	s := p.state(id)
@@ -332,20 +352,21 @@
 	s.places--
 }
 
-// Started notes that the answer to an attempt has begun.
+// Started records that the answer to an attempt has begun.
 func (p *Pool) Started(now time.Time, id upstream.Run) {
-	p.begunAt = now
+	p.startedAt = now
 	s := p.state(id)
 	s.unstarted--
-	s.begun++
+	s.started++
 }
 
-// Done notes the end of an attempt that took a time. Started says that its answer had begun.
+// Done records the end of an attempt and its duration. Started reports whether its answer had
+// begun.
 func (p *Pool) Done(now time.Time, id upstream.Run, r Result, took time.Duration, started bool) {
 	s := p.state(id)
 	s.inFlight--
 	if started {
-		// The place of a stream that has ended is this router's until the next report.
+		// This router may reuse the slot of a stream that has ended until the next report.
 		s.ended++
 		s.places++
 	} else {
@@ -353,31 +374,31 @@
 	}
 	switch r {
 	case ResultOK:
-		s.note(now, false)
+		s.recordResult(now, false)
 		p.conditions.Served(id)
-		s.latency = latencyKeep*s.latency + (1-latencyKeep)*took.Seconds()
+		s.latency = latencyDecay*s.latency + (1-latencyDecay)*took.Seconds()
 	case ResultError, ResultBroken:
-		s.note(now, true)
+		s.recordResult(now, true)
 	case ResultUnsent:
 		p.conditions.Withdraw(now, id)
 	case ResultUnreached, ResultStranger:
 		if r == ResultUnreached {
 			p.conditions.Withdraw(now, id)
 		}
-		s.note(now, true)
+		s.recordResult(now, true)
 		p.conditions.Unreached(now, id)
 	case ResultFull:
 		p.conditions.Full(now, id)
-		p.fullAt = now
+		p.rejectedAt = now
 	case ResultCancelled:
 	}
 }
 
-// Forget drops what is known of upstreams that are no longer listed.
+// Forget drops the state of upstreams that are no longer listed.
 func (p *Pool) Forget(now time.Time, listed map[upstream.Run]bool) {
-	for id, s := range p.ups {
+	for id, s := range p.states {
 		if !listed[id] && s.inFlight == 0 {
-			delete(p.ups, id)
+			delete(p.states, id)
 		}
 	}
 	p.conditions.Forget(now, listed)
--- a/services/balance/report.go
+++ b/services/balance/report.go
@@ -10,31 +10,32 @@
 	"fawnwinch.org/fawnwinch/services/peer"
 )
 
-// Report is a Group as it travels. Ranks are numbered by a list of addresses that a router is sent once, so that
-// a report takes some bytes for each rank.
+// Report is the wire form of a Group. Ranks are identified by their position in a list of addresses
+// that a router receives once, so that a report takes only a few bytes per rank.
 type Report struct {
-	// Authority and Coordinator are those of the sender: its authority, and the address at which it takes calls.
+	// Authority is the authority of the sender, and Coordinator the address at which it accepts
+	// calls.
 	Authority   uint64
 	Coordinator string
 	Service     string
 	ID          group.ID
 	Open, Whole bool
 	Skew        float64
-	// List numbers the list of ranks. Addresses holds it for a router that does not have it.
+	// List is the number of the rank list. Addresses holds the list if the router does not have it.
 	List      uint64
 	Addresses []string
-	// The counts of requests of each rank.
+	// Running, Waiting and Unstarted hold the request counts of each rank.
 	Running, Waiting, Unstarted []uint
-	// Slow holds the pace of the ranks that take longer than usual.
+	// Slow holds the pace of the ranks that are slower than normal.
 	Slow map[int]float64
-	// Backlog is what waits for the group.
+	// Backlog is the group's backlog.
 	Backlog Backlog
-	// Allotted says that Places tells what the router may send to each rank.
+	// Allotted reports whether Places is set.
 	Allotted bool
 	Places   []uint
 }
 
-// Carried returns the list of ranks if the report holds it.
+// Carried returns the rank list if the report includes it.
 func (r *Report) Carried() (RankList, bool) {
 	if len(r.Addresses) != len(r.Running) {
 		return RankList{}, false
@@ -42,29 +43,34 @@
 	return RankList{Number: r.List, Addresses: r.Addresses}, true
 }
 
-// ReportReply is what a router answers to a report.
+// ReportReply is a router's reply to a report.
 type ReportReply struct {
-	// List numbers the list of ranks by which the router has read the report. If it is 0 the router could not
-	// read it, and the rest is empty.
+	// List is the number of the rank list with which the router has read the report. It is 0 if the
+	// router could not read the report; the other fields are then empty.
 	List uint64
-	// Unstarted counts, for each rank, the requests of the router that have not begun; nil if there are none.
+	// Unstarted counts, for each rank, the router's requests whose answers have not begun; nil if
+	// there are none.
 	Unstarted []uint
-	// Wanted is how many requests the router would like to send until the next report, and Waiting how many of them wait.
+	// Wanted is the number of requests that the router wants to send until the next report, and
+	// Waiting the number of these that wait already.
 	Wanted, Waiting int
-	// Rate is the number of requests that the router sends to the group in a second.
+	// Rate is the number of requests that the router sends to the group per second.
 	Rate float64
-	// Idle says that the router has had no request for the group's service for a while: it need not be told soon.
+	// Idle reports whether the router has had no recent requests for the group's service, so that
+	// reports to it may be infrequent.
 	Idle bool
-	// Most bounds the requests that the router may send to some ranks, by their places in the list.
+	// Most limits the requests to some ranks, by their positions in the list.
 	Most map[int]uint
-	// Resting holds the places in the list of the ranks that have turned the router away.
+	// Resting holds the positions in the list of the ranks that have asked the router to back off.
 	Resting []int
 }
 
-// Want is a router's question for the load of a group. It is told from then on, until it is idle.
+// Want is a router's request for the load of a group. The router gets reports from then on, until
+// it is idle.
 type Want struct {
 	Router peer.Info
-	// List numbers the list of ranks that the router has, and Unstarted and Wanted are those of a reply.
+	// List is the number of the rank list that the router has. Unstarted and Wanted are as in
+	// ReportReply.
 	List      uint64
 	Unstarted []uint
 	Wanted    int
@@ -76,7 +82,8 @@
 	Addresses []string
 }
 
-// Next returns the list for ranks: the same if they are the same, else one with the next number.
+// Next returns the list for the ranks: the same list if the ranks are unchanged, otherwise one with
+// the next number.
 func (l RankList) Next(ranks []RankLoad) RankList {
 	addresses := make([]string, len(ranks))
 	for i, r := range ranks {
@@ -88,8 +95,8 @@
 	return RankList{Number: l.Number + 1, Addresses: addresses}
 }
 
-// Pack returns the report of a group whose ranks are those of the list, in its order. Has is the number of the
-// list that the router has.
+// Pack returns the report of a group whose ranks are those of the list, in list order. Has is the
+// number of the list that the router has.
 func (l RankList) Pack(g Group, has uint64) Report {
 	n := len(g.Ranks)
 	r := Report{
@@ -114,7 +121,7 @@
 	return r
 }
 
-// Unpack returns the group that a report tells of, or false if the report goes by another list.
+// Unpack returns the group of a report, or false if the report refers to another list.
 func (l RankList) Unpack(r Report) (Group, bool) {
 	n := len(l.Addresses)
 	if r.List != l.Number || len(r.Running) != n || len(r.Waiting) != n || len(r.Unstarted) != n || r.Allotted && len(r.Places) != n {
@@ -130,7 +137,7 @@
 	return g, true
 }
 
-// PackUnstarted returns the counts in the order of the list.
+// PackUnstarted returns the counts in list order.
 func (l RankList) PackUnstarted(u Unstarted) []uint {
 	if len(u) == 0 {
 		return nil
@@ -138,7 +145,7 @@
 	return l.counts(u)
 }
 
-// UnpackUnstarted returns counts in the order of the list by address, none if they are of another list.
+// UnpackUnstarted returns counts in list order by address; nil if they refer to another list.
 func (l RankList) UnpackUnstarted(counts []uint) Unstarted {
 	if len(counts) != len(l.Addresses) {
 		return nil
@@ -146,7 +153,7 @@
 	return l.byAddress(counts)
 }
 
-// PackMost returns bounds by the places of ranks in the list.
+// PackMost returns limits by the positions of ranks in the list.
 func (l RankList) PackMost(m Most) map[int]uint {
 	if len(m) == 0 {
 		return nil
@@ -160,7 +167,7 @@
 	return out
 }
 
-// UnpackMost returns bounds by the addresses of ranks. Those of places beyond the list are dropped.
+// UnpackMost returns limits by rank address. Positions outside the list are dropped.
 func (l RankList) UnpackMost(m map[int]uint) Most {
 	out := Most{}
 	for i, most := range m {
@@ -171,7 +178,7 @@
 	return out
 }
 
-// PackRanks returns the places of ranks in the list.
+// PackRanks returns the positions of ranks in the list.
 func (l RankList) PackRanks(addresses []string) []int {
 	var out []int
 	for _, address := range addresses {
@@ -182,7 +189,8 @@
 	return out
 }
 
-// UnpackRanks returns the addresses of ranks by their places. Places beyond the list are dropped.
+// UnpackRanks returns the addresses of ranks by their positions. Positions outside the list are
+// dropped.
 func (l RankList) UnpackRanks(places []int) []string {
 	var out []string
 	for _, i := range places {
@@ -211,5 +219,5 @@
 	return out
 }
 
-// count returns a number of requests for a report; there are none below zero.
+// count converts a number of requests for a report; negative numbers become 0.
 func count(n int) uint { return uint(max(n, 0)) }
--- a/services/balance/report_test.go
+++ b/services/balance/report_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// TestReport sends groups as reports and reads them with the lists that a router may have.
+// TestReport packs groups as reports and unpacks them with different lists on the router's side.
 func TestReport(t *testing.T) {
 	g := Group{
 		Service: "chat", ID: "g", Open: true, Skew: 1.25,
@@ -21,29 +21,29 @@
 	if same := list.Next(g.Ranks); list.Number != 8 || same.Number != 8 {
 		t.Fatalf("list %d, then %d for the same ranks; want 8 and 8", list.Number, same.Number)
 	}
-	given := g
-	given.Places = Places{"b": 2}
+	allotted := g
+	allotted.Places = Places{"b": 2}
 	none := g
 	none.Places = Places{}
 	cases := map[string]struct {
 		group Group
-		// has is the list of the router before the report.
+		// has is the router's list before the report.
 		has  RankList
 		read bool
 	}{
 		"first report":              {group: g, read: true},
 		"list is known":             {group: g, has: list, read: true},
-		"places":                    {group: given, has: list, read: true},
+		"places":                    {group: allotted, has: list, read: true},
 		"not a single place":        {group: none, has: list, read: true},
 		"list of an earlier start":  {group: g, has: RankList{Number: 8, Addresses: []string{"a"}}},
-		"same number, other ranks":  {group: given, has: RankList{Number: 8, Addresses: []string{"a", "b", "c"}}},
-		"another list, sent anew":   {group: given, has: RankList{Number: 4, Addresses: []string{"z"}}, read: true},
+		"same number, other ranks":  {group: allotted, has: RankList{Number: 8, Addresses: []string{"a", "b", "c"}}},
+		"another list, sent anew":   {group: allotted, has: RankList{Number: 4, Addresses: []string{"z"}}, read: true},
 		"no ranks are known at all": {group: Group{ID: "g"}, has: RankList{}, read: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			l := list.Next(tc.group.Ranks)
-			r := over(t, l.Pack(tc.group, tc.has.Number))
+			r := roundTrip(t, l.Pack(tc.group, tc.has.Number))
 			has := tc.has
 			if carried, ok := r.Carried(); ok {
 				has = carried
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestUnstarted sends what a router adds to a report.
+// TestUnstarted packs and unpacks the counts of a router's reply.
 func TestUnstarted(t *testing.T) {
 	l := RankList{Number: 1, Addresses: []string{"a", "b"}}
 	if got := l.UnpackUnstarted(l.PackUnstarted(Unstarted{"b": 2})); !reflect.DeepEqual(got, Unstarted{"b": 2}) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestReportSize bounds the bytes of a report of a large group to a router that has the list.
+// TestReportSize limits the size of a report of a large group to a router that has the list.
 func TestReportSize(t *testing.T) {
 	g := Group{Service: "chat", ID: "group-0", Open: true, Whole: true, Skew: 1.2, Places: Places{}}
 	for i := range 64 {
@@ -95,7 +95,7 @@
 		}
 		return b.Len() - from
 	}
-	size(Group{}) // the first value of a type carries its description
+	size(Group{}) // the first value of a type includes the type's description
 	size(Report{})
 	plain, packed := size(g), size(l.Pack(g, l.Number))
 	if packed > 350 {
@@ -104,8 +104,8 @@
 	t.Logf("%d bytes instead of %d", packed, plain)
 }
 
-// over returns a report as it arrives over a connection.
-func over(t *testing.T, r Report) Report {
+// roundTrip encodes and decodes a report as a connection does.
+func roundTrip(t *testing.T, r Report) Report {
 	t.Helper()
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(r); err != nil {
@@ -118,7 +118,7 @@
 	return out
 }
 
-// TestPackMost sends bounds by the places of a list, and reads them back; places that the list does not have are dropped.
+// TestPackMost packs and unpacks limits by list position; positions outside the list are dropped.
 func TestPackMost(t *testing.T) {
 	list := RankList{Number: 1, Addresses: []string{"a", "b", "c"}}
 	cases := map[string]struct {
