--- a/services/condition/condition.go
+++ b/services/condition/condition.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package condition holds in which condition upstreams are, by what they say of themselves in their answers and by the attempts of one
-// router. Whether a request may go to an upstream now, and else when, is asked here. It does no I/O and reads no clock.
+// Package condition tracks the conditions of upstreams, from their own answers and from one
+// router's attempts. It decides whether a request may be sent to an upstream now, and otherwise
+// when. It does no I/O and reads no clock.
 package condition
 
 import "time"
@@ -12,24 +13,24 @@
 
 // The conditions.
 const (
-	// KindFree is an upstream that takes requests.
+	// KindFree is an upstream that accepts requests.
 	KindFree Kind = "free"
-	// KindOut is one that is left alone for a moment because it could not be reached or had no room.
+	// KindOut is an upstream that is skipped for a short time because it was unreachable or full.
 	KindOut Kind = "out"
-	// KindLimited is one that takes a rate of requests from all routers together.
+	// KindLimited is an upstream that accepts a limited rate of requests from all routers together.
 	KindLimited Kind = "limited"
-	// KindResting is one that wants no requests from this router for a time.
+	// KindResting is an upstream that has asked this router to back off for some time.
 	KindResting Kind = "resting"
-	// KindLeaving is one that takes no more requests.
+	// KindLeaving is an upstream that accepts no more requests.
 	KindLeaving Kind = "leaving"
 )
 
-// News tells what an answer has changed.
+// News is a change of a condition caused by an answer.
 type News struct {
-	// Kind is the condition that has begun, has been renewed with other figures, or has ended if Ended is set.
+	// Kind is the condition that has started, has changed its values, or has ended if Ended is set.
 	Kind  Kind
 	Ended bool
-	// Unread is the error of a field that could not be read, if that is the news.
+	// Unread is the error of a header field that could not be parsed, if that is the change.
 	Unread error
 }
 
--- a/services/condition/limit.go
+++ b/services/condition/limit.go
@@ -9,36 +9,40 @@
 	"fawnwinch.org/fawnwinch/models/upstream"
 )
 
-// Limit is what is known of the limit of an upstream's run by one of its answers. The zero value is that of a run which never named one.
+// Limit is the state of the rate limit of an upstream's run, from one of its answers. The zero
+// value means that the run has never reported a limit.
 type Limit struct {
-	// Named says that the answer names a limit, of Rate; otherwise it has ended.
+	// Named reports whether the answer sets a limit, Rate; otherwise the limit has ended.
 	Named bool
 	Rate  upstream.Rate
-	// Sent is when the request was sent whose answer says so, and Heard when the answer came. The word is from some time in between.
+	// Sent is when the request of that answer was sent, and Heard when the answer was received. The
+	// upstream made the statement at some time in between.
 	Sent, Heard time.Time
 }
 
 func (l Limit) known() bool { return !l.Heard.IsZero() }
 
-// Merge returns which of two words holds. Answers may pass each other, so the later one that is heard need not be the newer; where
-// that cannot be told the stricter one holds, until an answer to a later request.
+// Merge returns which of two limits applies. Answers may arrive out of order, so the one received
+// later need not be the newer one. If the order is unknown the stricter limit applies, until an
+// answer to a later request.
 func (l Limit) Merge(o Limit) Limit {
 	switch {
 	case !o.known():
 		return l
-	case !l.known(), o.surelyAfter(l):
+	case !l.known(), o.definitelyAfter(l):
 		return o
-	case l.surelyAfter(o), l.strict(o):
+	case l.definitelyAfter(o), l.stricter(o):
 		return l
 	}
 	return o
 }
 
-// surelyAfter reports whether a word was said after another one.
-func (l Limit) surelyAfter(o Limit) bool { return !l.Sent.Before(o.Heard) }
+// definitelyAfter reports whether a limit was certainly reported after another one.
+func (l Limit) definitelyAfter(o Limit) bool { return !l.Sent.Before(o.Heard) }
 
-// strict reports whether a word allows less than another one. Of two that allow the same the one that is heard later counts.
-func (l Limit) strict(o Limit) bool {
+// stricter reports whether a limit allows less than another one. Of two equal limits the one
+// received later wins.
+func (l Limit) stricter(o Limit) bool {
 	switch {
 	case l.Named != o.Named:
 		return l.Named
@@ -48,16 +52,17 @@
 	return l.Heard.After(o.Heard)
 }
 
-// ToldLimit is a Limit as it travels: clocks of processes differ, so it has ages in place of times.
+// ToldLimit is the wire form of a Limit: the clocks of processes differ, so it has ages instead of
+// times.
 type ToldLimit struct {
 	Named             bool
 	Rate              upstream.Rate
 	SentAge, HeardAge time.Duration
-	// Known says that there is a word at all.
+	// Known reports whether there is any statement on a limit.
 	Known bool
 }
 
-// Told returns a limit as it is told to another process at a time.
+// Told returns the wire form of a limit at the given time.
 func (l Limit) Told(now time.Time) ToldLimit {
 	if !l.known() {
 		return ToldLimit{}
@@ -65,8 +70,9 @@
 	return ToldLimit{Named: l.Named, Rate: l.Rate, SentAge: now.Sub(l.Sent), HeardAge: now.Sub(l.Heard), Known: true}
 }
 
-// At returns a limit that was told in a message which came at a time, and was sent at another one at the earliest. The word is older than
-// its ages by the time that the message took: it is taken for as old as it can be where it says less, and for as young where it says more.
+// At converts a received limit. The message was sent at the earliest at sent, and received at came.
+// The limit is older than its ages by the unknown transfer time: Sent is assumed as early and Heard
+// as late as possible.
 func (t ToldLimit) At(sent, came time.Time) Limit {
 	if !t.Known {
 		return Limit{}
--- a/services/condition/permits.go
+++ b/services/condition/permits.go
@@ -10,37 +10,41 @@
 )
 
 const (
-	// permitValid is how long a permit may be kept before it is taken. Those that are kept add to what an upstream may get at once.
+	// permitValid is how long an unused permit is valid. Unused permits add to the burst that an
+	// upstream may get.
 	permitValid = 500 * time.Millisecond
-	// mostPermits bounds the permits that are asked for at once.
-	mostPermits = 64
-	// AskTime bounds a question for permits. Meanwhile no other request of the router waits for the same upstream.
+	// maxPermits bounds the permits in one request.
+	maxPermits = 64
+	// AskTime is the timeout of a request for permits. Meanwhile no other request of the router
+	// waits for the same upstream.
 	AskTime = 200 * time.Millisecond
 )
 
-// permits is what a router holds of the limit of an upstream. All routers share the limit, so one of them gives permits out for all; without
-// one nothing is sent.
+// permits holds a router's permits for an upstream with a rate limit. All routers share the limit,
+// so one of them grants the permits for all; without a grantor nothing is sent.
 type permits struct {
-	// held counts the permits that may be taken until a time, and taken those of requests that were chosen for the upstream and have
-	// not been sent yet.
+	// held counts the unused permits, which are valid until a time. taken counts the permits of
+	// requests that were chosen for the upstream and have not been sent yet.
 	held  int
 	until time.Time
 	taken int
-	// askAt is when more may be asked for, and wanted how many are. Asking says that a request is chosen that will ask.
+	// askAt is when more permits may be requested, and wanted how many. asking reports whether a
+	// chosen request is going to ask for permits.
 	askAt  time.Time
 	wanted int
 	asking bool
 }
 
-// opens returns when a request may be chosen for the upstream.
-func (p *permits) opens(now time.Time) time.Time {
+// availableAt returns when a request may be chosen for the upstream.
+func (p *permits) availableAt(now time.Time) time.Time {
 	if p.held > 0 && now.Before(p.until) {
 		return now
 	}
 	return p.askAt
 }
 
-// take notes that a request is chosen for the upstream. Without a permit it will ask for one, and no other does meanwhile.
+// take records that a request is chosen for the upstream. Without a permit that request will ask
+// for permits, and no other request asks meanwhile.
 func (p *permits) take(now time.Time) {
 	if p.held > 0 && now.Before(p.until) {
 		p.held--
@@ -50,8 +54,8 @@
 	p.askAt, p.asking = now.Add(AskTime), true
 }
 
-// giveBack notes that a request that was chosen is not sent.
-func (p *permits) giveBack(now time.Time) {
+// release records that a chosen request is not sent.
+func (p *permits) release(now time.Time) {
 	switch {
 	case p.taken > 0:
 		p.taken--
@@ -61,7 +65,7 @@
 	}
 }
 
-// use reports whether a request that was chosen has a permit, and uses it up.
+// use reports whether a chosen request has a permit, and consumes it.
 func (p *permits) use() bool {
 	if p.taken == 0 {
 		return false
@@ -70,18 +74,19 @@
 	return true
 }
 
-// ask returns how many permits to ask for: twice as many as the last time if those were used up before their time was over.
+// ask returns how many permits to request: twice as many as the last time if those were used before
+// they expired, otherwise one.
 func (p *permits) ask(now time.Time) int {
 	if p.held == 0 && now.Before(p.until) {
-		p.wanted = min(2*p.wanted, mostPermits)
+		p.wanted = min(2*p.wanted, maxPermits)
 	} else {
 		p.wanted = 1
 	}
 	return p.wanted
 }
 
-// Held returns how many requests a router may choose an upstream for that limits its requests: those for which it has permits, and one that
-// asks.
+// Held returns how many requests a router may choose a rate-limited upstream for: one for each
+// permit, and one that asks for permits.
 func (g *Register) Held(now time.Time, run upstream.Run) int {
 	r, ok := g.records[run]
 	if !ok || !now.Before(r.permits.until) {
@@ -90,57 +95,57 @@
 	return r.permits.held + 1
 }
 
-// Permission tells whether a request may be sent to an upstream.
+// Permission is the decision whether a request may be sent to an upstream.
 type Permission string
 
 // The permissions.
 const (
-	// PermissionGiven lets the request be sent now.
+	// PermissionGiven means that the request may be sent now.
 	PermissionGiven Permission = "given"
-	// PermissionAsk has the router ask for permits first.
+	// PermissionAsk means that the router has to request permits first.
 	PermissionAsk Permission = "ask"
-	// PermissionDenied has the request go elsewhere.
+	// PermissionDenied means that the request has to go to another upstream.
 	PermissionDenied Permission = "denied"
 )
 
-// Ask is the question of a router for permits to send requests to a run of an upstream.
+// Ask is a router's request for permits to send requests to a run of an upstream.
 type Ask struct {
 	Run upstream.Run
-	// Limit is what the router knows of the limit.
+	// Limit is the limit known to the router.
 	Limit ToldLimit
-	// Wanted is the number of permits; 0 only tells of the limit.
+	// Wanted is the number of permits; with 0 the request only reports the limit.
 	Wanted int
 }
 
-// Reply is the answer to an Ask.
+// Reply is the reply to an Ask.
 type Reply struct {
 	Given int
-	// Again is when the router may ask again if it was given none.
+	// Again is when the router may ask again if no permit was granted.
 	Again time.Duration
-	// Limit is what the router that gives permits knows of the limit.
+	// Limit is the limit known to the permit grantor.
 	Limit ToldLimit
 }
 
-// Choose notes that a request is chosen for an upstream.
+// Choose records that a request is chosen for an upstream.
 func (g *Register) Choose(now time.Time, run upstream.Run) {
 	if r, ok := g.records[run]; ok && r.limit.Named {
 		r.permits.take(now)
 	}
 }
 
-// Withdraw notes that a request that was chosen for an upstream is not sent.
+// Withdraw records that a request that was chosen for an upstream is not sent.
 func (g *Register) Withdraw(now time.Time, run upstream.Run) {
 	if r, ok := g.records[run]; ok && r.limit.Named {
-		r.permits.giveBack(now)
+		r.permits.release(now)
 	}
 }
 
-// Permit tells whether a request that was chosen for an upstream may be sent, right before it is: what the upstream has said since it was chosen
-// counts too.
+// Permit decides whether a request that was chosen for an upstream may be sent. It is called right
+// before the send, so that it uses the upstream's reports since the choice.
 func (g *Register) Permit(now time.Time, run upstream.Run) Permission {
 	r, ok := g.records[run]
 	switch {
-	case ok && (r.leaving || now.Before(r.restUntil)):
+	case ok && (r.leaving || now.Before(r.backoffUntil)):
 		return PermissionDenied
 	case !ok || !r.limit.Named || r.permits.use():
 		return PermissionGiven
@@ -148,7 +153,7 @@
 	return PermissionAsk
 }
 
-// Ask returns the question for permits at an upstream.
+// Ask returns the request for permits for an upstream.
 func (g *Register) Ask(now time.Time, run upstream.Run) Ask {
 	a := Ask{Run: run}
 	if r, ok := g.records[run]; ok {
@@ -157,23 +162,24 @@
 	return a
 }
 
-// Answered takes in the answer to a question that was asked at a time, on behalf of a request that takes one of the permits.
+// Answered records the reply to a request for permits that was sent at asked. One of the permits is
+// for the request on whose behalf the router asked.
 func (g *Register) Answered(asked, now time.Time, run upstream.Run, reply Reply) (Permission, []News) {
 	r, ok := g.records[run]
 	if !ok {
 		return PermissionGiven, nil
 	}
-	news := g.learn(r, reply.Limit.At(asked, now))
+	changes := g.learn(r, reply.Limit.At(asked, now))
 	r.permits.asking = false
 	switch p := &r.permits; {
 	case !r.limit.Named:
-		return PermissionGiven, news
+		return PermissionGiven, changes
 	case reply.Given > 0:
 		p.held += reply.Given - 1
 		p.until, p.askAt = now.Add(permitValid), now
-		return PermissionGiven, news
+		return PermissionGiven, changes
 	default:
 		p.askAt = now.Add(reply.Again)
-		return PermissionDenied, news
+		return PermissionDenied, changes
 	}
 }
--- a/services/condition/permits_test.go
+++ b/services/condition/permits_test.go
@@ -10,11 +10,11 @@
 	"fawnwinch.org/fawnwinch/models/upstream"
 )
 
-// TestPermits takes a router through requests to an upstream that limits them.
+// TestPermits simulates requests of a router to an upstream with a rate limit.
 func TestPermits(t *testing.T) {
 	run := upstream.Run{ID: "u"}
 	reply := func(given int, again time.Duration) Reply {
-		return Reply{Given: given, Again: again, Limit: word(1, 0, 10).Told(at(20))}
+		return Reply{Given: given, Again: again, Limit: limitOf(1, 0, 10).Told(at(20))}
 	}
 	type state struct {
 		*Register
@@ -104,7 +104,7 @@
 		},
 		"another router has heard that the limit has ended": func(s state) {
 			s.Choose(at(20), run)
-			p, news := s.Answered(at(40), at(42), run, Reply{Limit: word(0, 15, 30).Told(at(40))})
+			p, news := s.Answered(at(40), at(42), run, Reply{Limit: limitOf(0, 15, 30).Told(at(40))})
 			if p != PermissionGiven || len(news) != 1 || !news[0].Ended {
 				s.t.Errorf("permission %s, news %+v", p, news)
 			}
--- a/services/condition/register.go
+++ b/services/condition/register.go
@@ -11,68 +11,72 @@
 )
 
 const (
-	// unreachedFor is how long an upstream that cannot be connected to is left alone, at first and at most.
-	unreachedFor = 300 * time.Millisecond
-	unreachedMax = 4 * time.Second
-	// fullFor is how long an upstream is left alone that said it was full, and not for how long.
-	fullFor = 120 * time.Millisecond
+	// minUnreachedBackoff and maxUnreachedBackoff bound how long an unreachable upstream is
+	// skipped.
+	minUnreachedBackoff = 300 * time.Millisecond
+	maxUnreachedBackoff = 4 * time.Second
+	// fullBackoff is how long a full upstream is skipped that gave no back-off time.
+	fullBackoff = 120 * time.Millisecond
 )
 
-// record is what a register keeps of one run of an upstream.
+// record is the state of one run of an upstream.
 type record struct {
-	leaving   bool
-	restUntil time.Time
-	// outUntil is how long the upstream is left alone because of an attempt there, and outFor the latest such time after a failure.
-	outUntil time.Time
-	outFor   time.Duration
-	limit    Limit
-	permits  permits
-	// unread is the text of the latest error, so that each is told once.
+	leaving      bool
+	backoffUntil time.Time
+	// skipUntil is the end of the back-off after failed attempts, and unreachedBackoff the latest
+	// back-off after a failed connection.
+	skipUntil        time.Time
+	unreachedBackoff time.Duration
+	limit            Limit
+	permits          permits
+	// unread is the text of the latest parse error, so that each error is reported once.
 	unread string
-	// unlisted is since when the upstream is not listed, or zero.
+	// unlisted is when the upstream was first missing from the list; zero if it is listed.
 	unlisted time.Time
 }
 
-// keptUnlisted is how long the record of an upstream is kept that is not listed: entries go while the store is away, and come back.
-const keptUnlisted = 10 * time.Minute
+// unlistedRetention is how long the record of an unlisted upstream is kept: entries disappear
+// during an outage of the store and come back.
+const unlistedRetention = 10 * time.Minute
 
-// Register holds what the upstreams of one service have said of themselves, by their runs: what one has said holds for no other. It is not
-// safe for use by several goroutines.
+// Register holds the conditions of the upstreams of one service, by run: the reports of one run do
+// not apply to another. It is not safe for use by several goroutines.
 type Register struct {
 	records map[upstream.Run]*record
-	// changes counts the limits that have begun and ended.
+	// changes counts the starts and ends of limits.
 	changes uint64
 }
 
 // NewRegister returns an empty register.
 func NewRegister() *Register { return &Register{records: map[upstream.Run]*record{}} }
 
-// Note takes in what an upstream says in its answer to a request that was sent at a time, and returns what is new.
+// Note records the notice in an upstream's answer to a request that was sent at sent, and returns
+// the changes.
 func (g *Register) Note(now, sent time.Time, run upstream.Run, n upstream.Notice) []News {
 	if _, known := g.records[run]; !known && n == (upstream.Notice{}) {
 		return nil
 	}
 	r := g.record(run)
-	var news []News
+	var changes []News
 	if n.Leaving && !r.leaving {
 		r.leaving = true
-		news = append(news, News{Kind: KindLeaving})
+		changes = append(changes, News{Kind: KindLeaving})
 	}
-	if until := now.Add(n.Rest); n.Rest > 0 && until.After(r.restUntil) {
-		r.restUntil = until
-		news = append(news, News{Kind: KindResting})
+	if until := now.Add(n.Rest); n.Rest > 0 && until.After(r.backoffUntil) {
+		r.backoffUntil = until
+		changes = append(changes, News{Kind: KindResting})
 	}
 	if n.Limited || r.limit.Named && n.Unread == nil {
-		news = append(news, g.learn(r, Limit{Named: n.Limited, Rate: n.Limit, Sent: sent, Heard: now})...)
+		changes = append(changes, g.learn(r, Limit{Named: n.Limited, Rate: n.Limit, Sent: sent, Heard: now})...)
 	}
 	if n.Unread != nil && n.Unread.Error() != r.unread {
 		r.unread = n.Unread.Error()
-		news = append(news, News{Unread: n.Unread})
+		changes = append(changes, News{Unread: n.Unread})
 	}
-	return news
+	return changes
 }
 
-// learn takes in a word on the limit of a run, and returns what is new.
+// learn merges a limit into the record of a run, and returns the changes.
 func (g *Register) learn(r *record, l Limit) []News {
 	before := r.limit
 	r.limit = before.Merge(l)
@@ -88,10 +92,10 @@
 	return []News{{Kind: KindLimited, Ended: !r.limit.Named}}
 }
 
-// Empty reports whether no upstream has said anything of itself.
+// Empty reports whether no upstream has a record.
 func (g *Register) Empty() bool { return len(g.records) == 0 }
 
-// record returns what is kept of a run.
+// record returns the record of a run and creates it if necessary.
 func (g *Register) record(run upstream.Run) *record {
 	r, ok := g.records[run]
 	if !ok {
@@ -101,55 +105,56 @@
 	return r
 }
 
-// Unreached notes that an upstream could not be reached. It is left alone for twice as long as the last time.
+// Unreached records that an upstream could not be reached. The back-off is twice the previous one.
 func (g *Register) Unreached(now time.Time, run upstream.Run) {
 	r := g.record(run)
-	r.outFor = min(max(2*r.outFor, unreachedFor), unreachedMax)
-	r.outUntil = later(r.outUntil, now.Add(r.outFor))
+	r.unreachedBackoff = min(max(2*r.unreachedBackoff, minUnreachedBackoff), maxUnreachedBackoff)
+	r.skipUntil = later(r.skipUntil, now.Add(r.unreachedBackoff))
 }
 
-// Full notes that an upstream did not run a request.
+// Full records that an upstream did not run a request.
 func (g *Register) Full(now time.Time, run upstream.Run) {
 	r := g.record(run)
-	r.outUntil = later(r.outUntil, now.Add(fullFor))
+	r.skipUntil = later(r.skipUntil, now.Add(fullBackoff))
 }
 
-// Served notes that an upstream has answered a request.
+// Served records that an upstream has answered a request.
 func (g *Register) Served(run upstream.Run) {
 	if r, ok := g.records[run]; ok {
-		r.outFor = 0
+		r.unreachedBackoff = 0
 	}
 }
 
-// Judge returns the condition of an upstream, and how long it is until a request of this router may be chosen for it; 0 if one may now.
+// Judge returns the condition of an upstream, and the time until a request of this router may be
+// chosen for it; 0 if it may be chosen now.
 func (g *Register) Judge(now time.Time, run upstream.Run) (Kind, time.Duration) {
 	r, ok := g.records[run]
 	if !ok {
 		return KindFree, 0
 	}
-	rest := r.restUntil.Sub(now)
-	switch out := r.outUntil.Sub(now); {
+	backoff := r.backoffUntil.Sub(now)
+	switch out := r.skipUntil.Sub(now); {
 	case r.leaving:
 		return KindLeaving, Never
 	case r.limit.Named:
-		return KindLimited, max(rest, out, r.permits.opens(now).Sub(now), 0)
-	case rest > 0:
-		return KindResting, max(rest, out)
+		return KindLimited, max(backoff, out, r.permits.availableAt(now).Sub(now), 0)
+	case backoff > 0:
+		return KindResting, max(backoff, out)
 	case out > 0:
 		return KindOut, out
 	}
 	return KindFree, 0
 }
 
-// Learn takes in what another router knows of the limit of an upstream, and returns what is new.
+// Learn records the limit of an upstream that another router knows, and returns the changes.
 func (g *Register) Learn(run upstream.Run, l Limit) []News {
 	if _, known := g.records[run]; !known && !l.Named {
-		return nil // nothing ends that is not known
+		return nil // an unknown limit cannot end
 	}
 	return g.learn(g.record(run), l)
 }
 
-// Limits returns what is known of limits, also of those that have ended lately.
+// Limits returns the known limits, including recently ended ones.
 func (g *Register) Limits() map[upstream.Run]Limit {
 	out := map[upstream.Run]Limit{}
 	for run, r := range g.records {
@@ -160,10 +165,10 @@
 	return out
 }
 
-// Changes returns a number that rises when a limit begins or ends.
+// Changes returns a counter that increases when a limit starts or ends.
 func (g *Register) Changes() uint64 { return g.changes }
 
-// Limit returns what is known of the limit of an upstream.
+// Limit returns the known limit of an upstream.
 func (g *Register) Limit(run upstream.Run) Limit {
 	if r, ok := g.records[run]; ok {
 		return r.limit
@@ -171,7 +176,8 @@
 	return Limit{}
 }
 
-// Forget drops what is known of upstreams that have not been listed for long.
+// Forget drops the records of upstreams that have not been listed for unlistedRetention, and empty
+// records.
 func (g *Register) Forget(now time.Time, listed map[upstream.Run]bool) {
 	maps.DeleteFunc(g.records, func(run upstream.Run, r *record) bool {
 		switch {
@@ -180,14 +186,14 @@
 		case r.unlisted.IsZero():
 			r.unlisted = now
 		}
-		return r.empty(now) || !r.unlisted.IsZero() && now.Sub(r.unlisted) > keptUnlisted
+		return r.empty(now) || !r.unlisted.IsZero() && now.Sub(r.unlisted) > unlistedRetention
 	})
 }
 
-// empty reports whether nothing is known that matters.
+// empty reports whether the record holds no relevant state.
 func (r *record) empty(now time.Time) bool {
-	said := r.leaving || r.limit.Named || r.unread != "" || now.Before(r.restUntil) || now.Sub(r.limit.Heard) < keptUnlisted
-	return !said && r.outFor == 0 && !now.Before(r.outUntil)
+	relevant := r.leaving || r.limit.Named || r.unread != "" || now.Before(r.backoffUntil) || now.Sub(r.limit.Heard) < unlistedRetention
+	return !relevant && r.unreachedBackoff == 0 && !now.Before(r.skipUntil)
 }
 
 func later(a, b time.Time) time.Time {
@@ -204,7 +210,7 @@
 		switch {
 		case r.leaving:
 			out[KindLeaving]++
-		case now.Before(r.restUntil):
+		case now.Before(r.backoffUntil):
 			out[KindResting]++
 		case r.limit.Named:
 			out[KindLimited]++
--- a/services/condition/register_test.go
+++ b/services/condition/register_test.go
@@ -12,7 +12,8 @@
 	"fawnwinch.org/fawnwinch/models/upstream"
 )
 
-// TestNews checks which words of an upstream are told as new: each once, however often it says them.
+// TestNews checks which statements of an upstream are returned as changes: each once, however often
+// it is repeated.
 func TestNews(t *testing.T) {
 	limit := func(r upstream.Rate) upstream.Notice { return upstream.Notice{Limited: true, Limit: r} }
 	unread := upstream.Notice{Unread: errors.New("bad")}
@@ -44,25 +45,26 @@
 	}
 }
 
-// TestKeptUnlisted checks that the word of an upstream outlives an outage of the store, in which entries go and come back, and not the
-// upstream.
+// TestKeptUnlisted checks that the record of an upstream outlives an outage of the store, in which
+// entries disappear and come back, but is dropped long after the upstream has gone.
 func TestKeptUnlisted(t *testing.T) {
 	run, now := upstream.Run{ID: "u"}, time.Unix(1000, 0)
 	g := NewRegister()
 	g.Note(now, now, run, upstream.Notice{Leaving: true})
 	g.Forget(now, nil)
-	g.Forget(now.Add(keptUnlisted), map[upstream.Run]bool{run: true})
-	g.Forget(now.Add(2*keptUnlisted), nil)
+	g.Forget(now.Add(unlistedRetention), map[upstream.Run]bool{run: true})
+	g.Forget(now.Add(2*unlistedRetention), nil)
 	if n := g.Counts(now)[KindLeaving]; n != 1 {
 		t.Errorf("%d upstreams leave after the entry has come back, want 1", n)
 	}
-	g.Forget(now.Add(4*keptUnlisted), nil)
+	g.Forget(now.Add(4*unlistedRetention), nil)
 	if n := g.Counts(now)[KindLeaving]; n != 0 {
 		t.Errorf("%d upstreams leave long after the entry has gone, want 0", n)
 	}
 }
 
-// TestJudge checks when a request may be chosen for an upstream, and whether one that was chosen may still be sent.
+// TestJudge checks when a request may be chosen for an upstream, and whether one that was chosen
+// may still be sent.
 func TestJudge(t *testing.T) {
 	run := upstream.Run{ID: "u"}
 	rest := func(ms int) upstream.Notice { return upstream.Notice{Rest: time.Duration(ms) * time.Millisecond} }
@@ -70,7 +72,7 @@
 		prepare func(g *Register)
 		now     int
 		kind    Kind
-		// wait is how many milliseconds later one may be chosen; -1 for never.
+		// wait is the number of milliseconds until a request may be chosen; -1 for never.
 		wait int
 		sent Permission
 	}{
@@ -119,7 +121,7 @@
 	}
 }
 
-// TestForget checks that nothing is kept of an upstream that is as any other again.
+// TestForget checks that the record of an upstream without a condition is dropped.
 func TestForget(t *testing.T) {
 	run := upstream.Run{ID: "u"}
 	listed := map[upstream.Run]bool{run: true}
