--- a/services/quota/ledger.go
+++ b/services/quota/ledger.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package quota gives out permits to send requests to upstreams that limit what they take from all routers together. For each upstream
-// the routers agree on one of them, whose ledger counts for all; nothing of it is kept, and a router that takes over begins with
-// nothing to give. It does no I/O and reads no clock.
+// Package quota grants permits to send requests to upstreams that limit the rate of requests from
+// all routers together. The routers agree on one permit grantor for each upstream, whose ledger is
+// authoritative. Ledgers are not stored: a router that takes over starts without permits. It does
+// no I/O and reads no clock.
 package quota
 
 import (
@@ -16,35 +17,38 @@
 )
 
 const (
-	// burst and burstTime bound the permits that an upstream's account saves up: a number, and those of a time. Requests that come
-	// unevenly use the limit up with them, and what comes together stays small.
+	// burst and burstTime bound the saved permits of an upstream: a fixed number plus the permits
+	// of a duration. Unevenly arriving requests can use the full rate with them, and bursts stay
+	// small.
 	burst     = 1.0
 	burstTime = 250 * time.Millisecond
-	// leastRate is the rate that is reckoned with at least: by the answer to a request now and then it is noticed that a limit has ended.
-	leastRate = upstream.Rate(0.1)
-	// mostRate bounds the rate that is reckoned with.
-	mostRate = upstream.Rate(1e6)
-	// againLeast and againMost bound when a router may ask again that was given nothing. It is asked for upstreams that many routers
-	// want to use no more often than the limit lets one of them.
-	againLeast = 20 * time.Millisecond
-	againMost  = 4 * time.Second
-	// againDenied is when a router may ask again that was denied without a time.
-	againDenied = 300 * time.Millisecond
-	// keptUnused is how long an account is kept that nobody asks for.
-	keptUnused = 10 * time.Minute
+	// minRate is the smallest rate used: an occasional answer is needed to notice that a limit has
+	// ended.
+	minRate = upstream.Rate(0.1)
+	// maxRate bounds the rate used.
+	maxRate = upstream.Rate(1e6)
+	// minRetryAfter and maxRetryAfter bound the retry time of a router that got no permit. Retry
+	// times are spaced so that many routers together ask about as often as the limit grants a
+	// permit.
+	minRetryAfter = 20 * time.Millisecond
+	maxRetryAfter = 4 * time.Second
+	// deniedRetryAfter is the retry time of a router that was denied without a forecast.
+	deniedRetryAfter = 300 * time.Millisecond
+	// unusedRetention is how long an unused account is kept.
+	unusedRetention = 10 * time.Minute
 )
 
-// account is what a ledger keeps of one run of an upstream.
+// account holds the permits of one run of an upstream.
 type account struct {
 	limit condition.Limit
-	// saved is the number of permits that may be given at a time.
+	// saved is the number of permits that may be granted now.
 	saved float64
 	at    time.Time
-	// turn is the time for which the latest router was told to ask again.
-	turn time.Time
+	// nextRetry is the retry time given to the latest router without a permit.
+	nextRetry time.Time
 }
 
-// Ledger gives permits out. It is safe for use by several goroutines.
+// Ledger grants permits. It is safe for use by several goroutines.
 type Ledger struct {
 	mu       sync.Mutex
 	accounts map[upstream.Run]*account
@@ -53,11 +57,11 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{accounts: map[upstream.Run]*account{}} }
 
-// Denied is the answer of a router that does not give permits for an upstream, and stands for one that did not come: routers know
-// different others for a moment, until they have heard who has come and gone.
-func Denied() condition.Reply { return condition.Reply{Again: againDenied} }
+// Denied is the reply of a router that is not the permit grantor of an upstream. It also stands for
+// a missing reply: while routers join or leave, they may briefly disagree on the grantor.
+func Denied() condition.Reply { return condition.Reply{Again: deniedRetryAfter} }
 
-// Give answers a question for permits.
+// Give replies to a request for permits.
 func (l *Ledger) Give(now time.Time, ask condition.Ask) condition.Reply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,25 +71,25 @@
 		l.accounts[ask.Run] = a
 	}
 	a.refill(now)
-	// The question has been on its way for as long as its asker waits for the answer, at most.
+	// The request was under way for at most the time that its sender waits for the reply.
 	a.limit = a.limit.Merge(ask.Limit.At(now.Add(-condition.AskTime), now))
 	reply := condition.Reply{Limit: a.limit.Told(now)}
-	switch whole := int(min(a.saved, float64(ask.Wanted))); {
+	switch granted := int(min(a.saved, float64(ask.Wanted))); {
 	case !a.limit.Named:
 		reply.Given, a.saved = ask.Wanted, 0
-	case whole > 0:
-		a.saved -= float64(whole)
-		reply.Given = whole
+	case granted > 0:
+		a.saved -= float64(granted)
+		reply.Given = granted
 	case ask.Wanted > 0:
 		reply.Again = a.next(now)
 	}
 	return reply
 }
 
-// rate returns the permits a second.
-func (a *account) rate() float64 { return float64(min(max(a.limit.Rate, leastRate), mostRate)) }
+// rate returns the permits per second.
+func (a *account) rate() float64 { return float64(min(max(a.limit.Rate, minRate), maxRate)) }
 
-// refill adds the permits of the time that has passed.
+// refill adds the permits for the time since the last refill.
 func (a *account) refill(now time.Time) {
 	if a.limit.Named {
 		most := burst + a.rate()*burstTime.Seconds()
@@ -94,23 +98,23 @@
 	a.at = now
 }
 
-// next returns when a router may ask again that was given nothing: when the next permit is there, and one permit later than the router
-// before it.
+// next returns the retry time of a router without a permit: when the next permit is available, and
+// one permit later than the previous router.
 func (a *account) next(now time.Time) time.Duration {
 	each := time.Duration(float64(time.Second) / a.rate())
 	soonest := now.Add(time.Duration((1 - a.saved) * float64(each)))
-	if a.turn = a.turn.Add(each); a.turn.Before(soonest) {
-		a.turn = soonest
+	if a.nextRetry = a.nextRetry.Add(each); a.nextRetry.Before(soonest) {
+		a.nextRetry = soonest
 	}
-	if latest := now.Add(againMost); a.turn.After(latest) {
-		a.turn = latest
+	if latest := now.Add(maxRetryAfter); a.nextRetry.After(latest) {
+		a.nextRetry = latest
 	}
-	return max(a.turn.Sub(now), againLeast)
+	return max(a.nextRetry.Sub(now), minRetryAfter)
 }
 
-// Sweep drops what nobody has asked for for long.
+// Sweep drops accounts that have not been used for unusedRetention.
 func (l *Ledger) Sweep(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	maps.DeleteFunc(l.accounts, func(_ upstream.Run, a *account) bool { return now.Sub(a.at) > keptUnused })
+	maps.DeleteFunc(l.accounts, func(_ upstream.Run, a *account) bool { return now.Sub(a.at) > unusedRetention })
 }
--- a/services/quota/ledger_test.go
+++ b/services/quota/ledger_test.go
@@ -14,16 +14,17 @@
 
 var begin = time.Unix(1000, 0)
 
-// ask is a question of a router that has heard a limit a moment ago.
+// ask returns a request of a router that has just received a limit.
 func ask(rate upstream.Rate, wanted int) condition.Ask {
 	return condition.Ask{Run: upstream.Run{ID: "u"}, Limit: condition.ToldLimit{Known: true, Named: rate >= 0, Rate: max(rate, 0)}, Wanted: wanted}
 }
 
-// TestGive has routers ask as often as they may, and counts what is given: about what the limit allows, and little at once.
+// TestGive has routers ask as often as they may and counts the permits: their rate must be close to
+// the limit, without large bursts.
 func TestGive(t *testing.T) {
 	cases := map[string]struct {
 		rate upstream.Rate
-		// every is the time between two questions, each for a number of permits.
+		// every is the time between two requests for permits.
 		every  time.Duration
 		wanted int
 		want   float64
@@ -32,7 +33,7 @@
 		"one in five seconds":         {0.2, 50 * time.Millisecond, 1, 0.2},
 		"many":                        {50, 10 * time.Millisecond, 4, 50},
 		"few want many":               {1000, time.Second, 2, 2},
-		"a limit of nothing":          {0, 50 * time.Millisecond, 1, float64(leastRate)},
+		"a limit of nothing":          {0, 50 * time.Millisecond, 1, float64(minRate)},
 		"a limit beyond all measures": {1e12, 50 * time.Millisecond, 8, 160},
 	}
 	for name, c := range cases {
@@ -53,7 +54,8 @@
 	}
 }
 
-// TestBegin checks that a router that takes over has nothing to give at once: the one before may have given it already.
+// TestBegin checks that a router that takes over has no permits at first: its predecessor may have
+// granted them already.
 func TestBegin(t *testing.T) {
 	l := NewLedger()
 	r := l.Give(begin, ask(1, 1))
@@ -65,23 +67,25 @@
 	}
 }
 
-// TestTurns checks that routers which are given nothing are told different times, and none is put off for long.
+// TestTurns checks that routers without a permit get different retry times, and that none waits for
+// long.
 func TestTurns(t *testing.T) {
-	l, told := NewLedger(), map[time.Duration]int{}
+	l, retryTimes := NewLedger(), map[time.Duration]int{}
 	for range 100 {
-		told[l.Give(begin, ask(2, 1)).Again]++
+		retryTimes[l.Give(begin, ask(2, 1)).Again]++
 	}
-	for after := 500 * time.Millisecond; after < againMost; after += 500 * time.Millisecond {
-		if told[after] != 1 {
-			t.Errorf("%d routers are told %s, want 1", told[after], after)
+	for after := 500 * time.Millisecond; after < maxRetryAfter; after += 500 * time.Millisecond {
+		if retryTimes[after] != 1 {
+			t.Errorf("%d routers are told %s, want 1", retryTimes[after], after)
 		}
 	}
-	if told[againMost] != 93 {
-		t.Errorf("%d routers are told %s, want all others", told[againMost], againMost)
+	if retryTimes[maxRetryAfter] != 93 {
+		t.Errorf("%d routers are told %s, want all others", retryTimes[maxRetryAfter], maxRetryAfter)
 	}
 }
 
-// TestEnded checks that routers learn from the one that gives permits that a limit has ended, and that it is in force again.
+// TestEnded checks that routers learn from the permit grantor that a limit has ended, and that it
+// applies again.
 func TestEnded(t *testing.T) {
 	l := NewLedger()
 	l.Give(begin, ask(1, 1))
@@ -102,18 +106,18 @@
 	}
 }
 
-// TestSweep checks that accounts are dropped that nobody uses.
+// TestSweep checks that unused accounts are dropped.
 func TestSweep(t *testing.T) {
 	l := NewLedger()
 	l.Give(begin, ask(1, 1))
-	l.Sweep(begin.Add(keptUnused))
-	l.Sweep(begin.Add(keptUnused + 1))
+	l.Sweep(begin.Add(unusedRetention))
+	l.Sweep(begin.Add(unusedRetention + 1))
 	if n := len(l.accounts); n != 0 {
 		t.Errorf("%d accounts are left", n)
 	}
 }
 
-// ExampleLedger_Give shows a router that is given a permit, and one that is told when to ask again.
+// ExampleLedger_Give shows a router that gets a permit, and one that gets a retry time.
 func ExampleLedger_Give() {
 	l := NewLedger()
 	question := condition.Ask{Run: upstream.Run{ID: "i-1"}, Limit: condition.ToldLimit{Known: true, Named: true, Rate: 2}, Wanted: 1}
