--- a/services/share/bench_test.go
+++ b/services/share/bench_test.go
@@ -15,8 +15,8 @@
 	"fawnwinch.org/fawnwinch/models/account"
 )
 
-// The bench runs the queues of a few agents in virtual time. Several routers spread requests over
-// the agents without talking to each other.
+// The benchmark runs the queues of a few agents in virtual time. Several routers distribute
+// requests over the agents without coordination.
 
 const (
 	benchAgents = 4
@@ -88,12 +88,13 @@
 	calls  map[Ticket]call
 	last   Ticket
 	end    time.Duration
-	// busy holds the slot time that each account got in each second.
+	// busy holds the slot time that each account used in each second.
 	busy  map[account.ID]map[int]float64
 	waits map[account.ID][]float64
-	// inTime counts answers within the deadline, refused those told not run, late the rest.
+	// inTime counts answers within the deadline, late those after it, and refused the requests that
+	// were not run.
 	inTime, refused, late int
-	// floods holds the rate of each account, in requests a second, from a time on.
+	// budget is the time from the arrival of a request to its deadline; 0 for no deadline.
 	budget time.Duration
 }
 
@@ -118,7 +119,7 @@
 
 func (b *bench) after(d time.Duration, do func()) { heap.Push(&b.queue, event{at: b.now + d, do: do}) }
 
-// arrivals makes an account ask rate times a second from one time to another.
+// arrivals generates rate requests per second of an account between two times.
 func (b *bench) arrivals(who account.ID, rate float64, from, to time.Duration) {
 	var next func()
 	next = func() {
@@ -191,8 +192,8 @@
 	}
 }
 
-// got sums an account's slot time over some seconds.
-func (b *bench) got(who account.ID, from, to int) float64 {
+// slotTime returns an account's slot time over a range of seconds.
+func (b *bench) slotTime(who account.ID, from, to int) float64 {
 	var sum float64
 	for s := from; s < to; s++ {
 		sum += b.busy[who][s]
@@ -211,12 +212,13 @@
 
 var benchShares = []account.Share{{Account: "large", Weight: 4}, {Account: "medium", Weight: 2}, {Account: "small", Weight: 1}}
 
-// capacity is the number of requests a second all agents can run.
+// capacity is the number of requests per second that all agents can run.
 var capacity = benchAgents * benchSlots / meanRun.Seconds()
 
 const benchSeeds = 10
 
-// BenchmarkShares reports, for three backlogged accounts, the largest error of a share over ten seconds.
+// BenchmarkShares reports the largest relative error of a share over ten seconds, for three
+// backlogged accounts.
 func BenchmarkShares(b *testing.B) {
 	for _, fair := range []bool{false, true} {
 		b.Run(fmt.Sprintf("fair=%t", fair), func(b *testing.B) {
@@ -230,12 +232,12 @@
 					x.run()
 					var total float64
 					for _, s := range benchShares {
-						total += x.got(s.Account, 2, 12)
+						total += x.slotTime(s.Account, 2, 12)
 					}
 					worst := 0.0
 					for _, s := range benchShares {
 						due := s.Weight / 7
-						worst = max(worst, math.Abs(x.got(s.Account, 2, 12)/total-due)/due)
+						worst = max(worst, math.Abs(x.slotTime(s.Account, 2, 12)/total-due)/due)
 					}
 					errs = append(errs, 100*worst)
 				}
@@ -246,8 +248,8 @@
 	}
 }
 
-// BenchmarkFlood reports a small account's 99th percentile while a large one asks for five times what
-// there is, against that alone.
+// BenchmarkFlood reports the 99th percentile of a small account's latency while a large one
+// requests five times the capacity, relative to the latency without it.
 func BenchmarkFlood(b *testing.B) {
 	for _, fair := range []bool{false, true} {
 		b.Run(fmt.Sprintf("fair=%t", fair), func(b *testing.B) {
@@ -271,8 +273,8 @@
 	}
 }
 
-// BenchmarkIdle reports how much of an idle account's share another one has a second after it fell
-// idle, and how much of it is given back two seconds after the account returned.
+// BenchmarkIdle reports how much of an idle account's share another account uses one second after
+// it became idle, and how much the account gets back two seconds after its return.
 func BenchmarkIdle(b *testing.B) {
 	var lent, back []float64
 	for range b.N {
@@ -283,15 +285,15 @@
 			x.arrivals("large", 2*capacity, 10*time.Second, x.end)
 			x.run()
 			all := benchAgents * benchSlots * 3.0
-			lent = append(lent, 100*x.got("small", 6, 9)/all)
-			back = append(back, 100*x.got("large", 12, 15)/all)
+			lent = append(lent, 100*x.slotTime("small", 6, 9)/all)
+			back = append(back, 100*x.slotTime("large", 12, 15)/all)
 		}
 	}
 	b.ReportMetric(percentile(lent, 0.4), "lent-%")
 	b.ReportMetric(percentile(back, 0.4), "back-of-80-%")
 }
 
-// BenchmarkOverload reports the answers in time for each offered load, against the capacity.
+// BenchmarkOverload reports the answers in time for each offered load, relative to the capacity.
 func BenchmarkOverload(b *testing.B) {
 	for _, fair := range []bool{false, true} {
 		for _, load := range []float64{0.8, 1, 1.5, 2, 3} {
@@ -315,7 +317,7 @@
 	}
 }
 
-// BenchmarkQueue times one request's way through the queue by the number of accounts.
+// BenchmarkQueue measures the time of one request in the queue by number of accounts.
 func BenchmarkQueue(b *testing.B) {
 	for _, n := range []int{10, 100, 790} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/services/share/gate.go
+++ b/services/share/gate.go
@@ -12,7 +12,7 @@
 	"fawnwinch.org/fawnwinch/modules/clock"
 )
 
-// Gate lets requests through in the order a Queue decides. It is safe for use by several goroutines.
+// Gate admits requests in the order that a Queue decides. It is safe for use by several goroutines.
 type Gate struct {
 	mu    sync.Mutex
 	queue *Queue
@@ -69,7 +69,7 @@
 	}
 }
 
-// abandon gives up a request that may have been let through meanwhile.
+// abandon cancels a request that may have been admitted in the meantime.
 func (g *Gate) abandon(t Ticket, ch chan *Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -92,22 +92,22 @@
 	g.advance(clock.Now())
 }
 
-// advance lets the next requests through. The caller holds the lock.
+// advance admits the next requests. The caller holds the lock.
 func (g *Gate) advance(now time.Time) {
 	start, refused := g.queue.Next(now)
 	g.refuse(refused)
 	for _, it := range start {
-		g.tell(it.Ticket, nil)
+		g.notify(it.Ticket, nil)
 	}
 }
 
 func (g *Gate) refuse(list []Refusal) {
 	for _, r := range list {
-		g.tell(r.Ticket, &r)
+		g.notify(r.Ticket, &r)
 	}
 }
 
-func (g *Gate) tell(t Ticket, r *Refusal) {
+func (g *Gate) notify(t Ticket, r *Refusal) {
 	if ch, ok := g.calls[t]; ok {
 		ch <- r
 		delete(g.calls, t)
--- a/services/share/queue.go
+++ b/services/share/queue.go
@@ -3,10 +3,10 @@
 
 // Package share divides an upstream among the client accounts that use it.
 //
-// It is start-time fair queueing: each account has a virtual time that advances by the work it
-// got, divided by its weight; the waiting account that is furthest behind is served next. What one
-// account leaves idle goes to the others, and an account that comes back starts at the present
-// virtual time, so that it neither saves up nor owes for its absence.
+// It implements start-time fair queueing: each account has a virtual time that advances by the work
+// done for it, divided by its weight. The waiting account with the smallest virtual time is served
+// next. Capacity that one account leaves idle goes to the others. An account that returns starts at
+// the current virtual time, so that it gains no credit and has no debt for its absence.
 package share
 
 import (
@@ -19,7 +19,7 @@
 // Ticket identifies one request in a queue.
 type Ticket uint64
 
-// Item is one request that wants to run.
+// Item is a request in the queue.
 type Item struct {
 	Ticket   Ticket
 	Account  account.ID
@@ -28,7 +28,7 @@
 	Priority int
 }
 
-// Reason says why a request was refused.
+// Reason is why a request was refused.
 type Reason string
 
 // The reasons.
@@ -43,15 +43,15 @@
 type Refusal struct {
 	Ticket Ticket
 	Reason Reason
-	// RetryAfter is how long the caller should wait before it asks again.
+	// RetryAfter is how long the caller should wait before it retries.
 	RetryAfter time.Duration
 }
 
-// Limits bounds a queue.
+// Limits bounds the size of a queue.
 type Limits struct {
-	// Concurrency is the number of requests that run at a time.
+	// Concurrency is the maximum number of running requests.
 	Concurrency int
-	// Waiting is the number of requests that may wait.
+	// Waiting is the maximum number of waiting requests.
 	Waiting int
 }
 
@@ -61,7 +61,7 @@
 	virtual float64
 	waiting []Item
 	running int
-	// work is the time its requests ran, in seconds.
+	// work is the total run time of its requests, in seconds.
 	work float64
 }
 
@@ -81,7 +81,8 @@
 	running map[Ticket]running
 	waiting int
 	virtual float64
-	// meanSeconds is the smoothed time a request runs, deviation its mean distance from that, in seconds.
+	// meanSeconds is the smoothed run time of a request, and deviation its smoothed mean deviation,
+	// in seconds.
 	meanSeconds, deviation float64
 }
 
@@ -121,13 +122,13 @@
 // Counts returns the numbers of running and waiting requests.
 func (q *Queue) Counts() (run, wait int) { return len(q.running), q.waiting }
 
-// Account is what one account has and had of an upstream.
+// Account is the current and past use of an upstream by one account.
 type Account struct {
 	ID      account.ID
 	Weight  float64
 	Running int
 	Waiting int
-	// Work is the time its requests ran.
+	// Work is the total run time of its requests.
 	Work time.Duration
 }
 
@@ -140,8 +141,8 @@
 	return out
 }
 
-// Enqueue takes a request in. It returns refusals: of this request, or of another one that had to
-// give way because its account has taken more than its part of the queue.
+// Enqueue adds a request. It returns refusals: of this request, or of another one that was evicted
+// because its account exceeds its share of the queue.
 func (q *Queue) Enqueue(now time.Time, it Item) []Refusal {
 	f, ok := q.flows[it.Account]
 	if !ok || f.weight <= 0 {
@@ -153,7 +154,7 @@
 	}
 	var refused []Refusal
 	if q.waiting >= q.limits.Waiting && q.busy() {
-		victim, found := q.pushOut(it.Account)
+		victim, found := q.evict(it.Account)
 		if !found {
 			return []Refusal{{Ticket: it.Ticket, Reason: ReasonFull, RetryAfter: q.retryAfter(f)}}
 		}
@@ -181,23 +182,24 @@
 
 func (q *Queue) busy() bool { return len(q.running) >= q.limits.Concurrency }
 
-// runTime returns the time within which most requests end once they run.
+// runTime returns the time within which most requests end after they start.
 func (q *Queue) runTime() time.Duration {
-	return time.Duration((q.meanSeconds + deviations*q.deviation) * float64(time.Second))
+	return time.Duration((q.meanSeconds + runTimeDeviations*q.deviation) * float64(time.Second))
 }
 
-// deviations is how many mean deviations above the mean the time of most requests lies.
-const deviations = 2
+// runTimeDeviations is how many mean deviations above the mean the run time of most requests lies.
+const runTimeDeviations = 2
 
-// shrink notes that a flow has one waiting request less.
-func (q *Queue) shrink(id account.ID, f *flow) {
+// removedWaiting updates the counts after a waiting request has been removed from a flow.
+func (q *Queue) removedWaiting(id account.ID, f *flow) {
 	q.waiting--
 	if len(f.waiting) == 0 {
 		delete(q.backlog, id)
 	}
 }
 
-// estimate returns how long n waiting requests of an account take at its present part of the upstream.
+// estimate returns how long n waiting requests of an account take at its current share of the
+// upstream.
 func (q *Queue) estimate(f *flow, n int) time.Duration {
 	backlogged := 0.0
 	if len(f.waiting) == 0 {
@@ -210,27 +212,28 @@
 	return time.Duration(float64(n) / rate * float64(time.Second))
 }
 
-// The bounds of the advice when to come back.
+// The bounds of RetryAfter.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = time.Minute
 )
 
-// retryAfter returns when half of what the account has waiting will be done.
+// retryAfter returns the forecast time until half of the account's waiting requests are done.
 func (q *Queue) retryAfter(f *flow) time.Duration {
 	return min(max(q.estimate(f, len(f.waiting)/2+1), minRetryAfter), maxRetryAfter)
 }
 
-// half of a request is what the arriving one counts for: of two accounts that are level, the one
-// with the smaller share does not lose its only place to rounding.
-const half = 0.5
+// arrivalWeight is the weight of the arriving request in the comparison. It is half a request, so
+// that of two equal accounts the one with the smaller share does not lose its only queue position
+// to rounding.
+const arrivalWeight = 0.5
 
-// pushOut refuses the newest waiting request of the account that is furthest over its part of the
-// queue, if that account is further over than the arriving one would be.
-func (q *Queue) pushOut(arriving account.ID) (Refusal, bool) {
+// evict refuses the newest waiting request of the account that exceeds its share of the queue the
+// most, if that account exceeds it by more than the arriving one would.
+func (q *Queue) evict(arriving account.ID) (Refusal, bool) {
 	var worst account.ID
 	a := q.flows[arriving]
-	high := (float64(len(a.waiting)) + half) / a.weight
+	high := (float64(len(a.waiting)) + arrivalWeight) / a.weight
 	for id, f := range q.backlog {
 		over := float64(len(f.waiting)) / max(f.weight, 1e-9)
 		if id != arriving && (over > high || (over == high && worst != "" && id < worst)) {
@@ -243,25 +246,25 @@
 	f := q.flows[worst]
 	last := f.waiting[len(f.waiting)-1]
 	f.waiting = f.waiting[:len(f.waiting)-1]
-	q.shrink(worst, f)
+	q.removedWaiting(worst, f)
 	return Refusal{Ticket: last.Ticket, Reason: ReasonPushed, RetryAfter: q.retryAfter(f)}, true
 }
 
 // Next returns the requests that start now, and refuses those whose deadline has passed.
 func (q *Queue) Next(now time.Time) (start []Item, refused []Refusal) {
 	for !q.busy() && q.waiting > 0 {
-		f := q.behind()
+		f := q.mostBehind()
 		it := f.waiting[0]
 		f.waiting = f.waiting[1:]
-		q.shrink(it.Account, f)
-		// A request that will most likely be late takes no place from one that can be in time.
+		q.removedWaiting(it.Account, f)
+		// A request that will probably be late does not replace one that can be in time.
 		if !it.Deadline.IsZero() && (!now.Before(it.Deadline) || (q.waiting > 0 && now.Add(q.runTime()).After(it.Deadline))) {
 			refused = append(refused, Refusal{Ticket: it.Ticket, Reason: ReasonDeadline, RetryAfter: q.retryAfter(f)})
 			continue
 		}
 		q.virtual = max(q.virtual, f.virtual)
 		charge := q.meanSeconds
-		f.virtual += charge / f.weightOr()
+		f.virtual += charge / f.effectiveWeight()
 		f.running++
 		q.running[it.Ticket] = running{account: it.Account, charged: charge, started: now}
 		start = append(start, it)
@@ -269,11 +272,11 @@
 	return start, refused
 }
 
-// weightOr returns the weight, or a small one for an account that has lost its share.
-func (f *flow) weightOr() float64 { return max(f.weight, 1e-3) }
+// effectiveWeight returns the weight, or a small one for an account that has lost its share.
+func (f *flow) effectiveWeight() float64 { return max(f.weight, 1e-3) }
 
-// behind returns the waiting flow with the smallest virtual time.
-func (q *Queue) behind() *flow {
+// mostBehind returns the waiting flow with the smallest virtual time.
+func (q *Queue) mostBehind() *flow {
 	var best *flow
 	var bestID account.ID
 	for id, f := range q.backlog {
@@ -298,17 +301,17 @@
 	if f, ok := q.flows[r.account]; ok {
 		f.running--
 		f.work += took
-		f.virtual += (took - r.charged) / f.weightOr()
+		f.virtual += (took - r.charged) / f.effectiveWeight()
 	}
 }
 
-// Cancel takes a waiting request out. It reports whether the request was still waiting.
+// Cancel removes a waiting request. It reports whether the request was still waiting.
 func (q *Queue) Cancel(t Ticket) bool {
 	for id, f := range q.backlog {
 		for i, it := range f.waiting {
 			if it.Ticket == t {
 				f.waiting = append(f.waiting[:i], f.waiting[i+1:]...)
-				q.shrink(id, f)
+				q.removedWaiting(id, f)
 				return true
 			}
 		}
--- a/services/share/queue_test.go
+++ b/services/share/queue_test.go
@@ -12,8 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestQueueLosesNothing checks random schedules: every request is waiting, running, done or refused,
-// exactly one of them; no slot is idle while a request waits; no more run than may.
+// TestQueueLosesNothing checks random schedules: every request is in exactly one of the states
+// waiting, running, done and refused; no slot is idle while a request waits; the concurrency limit
+// holds.
 func TestQueueLosesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Concurrency: rapid.IntRange(1, 4).Draw(t, "slots"), Waiting: rapid.IntRange(0, 6).Draw(t, "waiting")}
@@ -87,7 +88,7 @@
 }
 
 // TestFairAgainstNaive compares the order with that of a naive scheduler which always serves the
-// backlogged account with the least work for its weight.
+// backlogged account with the least work relative to its weight.
 func TestFairAgainstNaive(t *testing.T) {
 	q := NewQueue(Limits{Concurrency: 1, Waiting: 1000})
 	q.SetWeights(benchShares)
@@ -106,7 +107,7 @@
 		start, _ := q.Next(now)
 		got := start[0].Account
 		for _, s := range benchShares {
-			// One request's worth of difference is what a scheduler without preemption may have.
+			// A scheduler without preemption may differ by one request.
 			if naive[got]/weight[got] > naive[s.Account]/s.Weight+meanRun.Seconds() {
 				t.Fatalf("%s served at %v, but %s is behind: %v", got, now, s.Account, naive)
 			}
