--- a/services/admission/admission.go
+++ b/services/admission/admission.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package admission decides what becomes of a request that asks a router for an upstream: whether it is sent on at once,
-// waits for room and where in the queue, or is rejected, and when its caller may come back. It does no I/O and reads no
-// clock. Which upstream is chosen is decided by package balance.
+// Package admission decides what happens to a request that needs an upstream: whether it is sent
+// immediately, waits in the queue and at which position, or is rejected, and when its caller may
+// retry. It does no I/O and reads no clock. Package balance chooses the upstream.
 package admission
 
 import (
@@ -15,162 +15,173 @@
 	"fawnwinch.org/fawnwinch/services/balance"
 )
 
-// Request is a request that asks for an upstream.
+// Request is a request that needs an upstream.
 type Request struct {
-	// Route names the route, and Goal is the time in which its answers, or their first events, earn full credit.
+	// Route is the name of the route, and Goal the time within which its answers, or their first
+	// events, earn full credit.
 	Route string
 	Goal  time.Duration
-	// Arrived is when the request came, and Deadline when its caller leaves. Patience is what the caller said of that; 0 if
-	// it said nothing.
+	// Arrived is when the request arrived, and Deadline when its caller disconnects. Patience is
+	// the timeout that the caller gave; 0 if none was given.
 	Arrived, Deadline time.Time
 	Patience          time.Duration
-	// Timeout is the longest time that the route's operator has a request held; 0 if none is given.
+	// Timeout is the longest time that the route's configuration allows a request to be held; 0 if
+	// not set.
 	Timeout time.Duration
-	// Ask is what the request wants of the upstreams.
+	// Ask holds the requirements of the request for an upstream.
 	Ask balance.Ask
-	// Waited is how long the request has waited for room already, since it came or was last sent.
+	// Waited is how long the request has already waited for room, since it arrived or was last
+	// sent.
 	Waited time.Duration
 
-	// again says that the caller was rejected before and comes again, and due is when the request should be sent on at the
-	// latest if it cannot be answered in time any more.
-	again bool
-	due   time.Time
+	// retried reports whether the caller was rejected before and retries. due is when the request
+	// should be sent at the latest once it can no longer be answered in time.
+	retried bool
+	due     time.Time
 }
 
-// Outcome tells what becomes of a request.
+// Outcome is the decision on a request.
 type Outcome string
 
 // The outcomes.
 const (
-	// OutcomeGranted sends the request to an upstream now.
+	// OutcomeGranted means that the request is sent to an upstream now.
 	OutcomeGranted Outcome = "granted"
-	// OutcomeWaits has the request wait in the queue.
+	// OutcomeWaits means that the request waits in the queue.
 	OutcomeWaits Outcome = "waits"
-	// OutcomeRejected rejects the request.
+	// OutcomeRejected means that the request is rejected.
 	OutcomeRejected Outcome = "rejected"
 )
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on a request and its parameters.
 type Verdict struct {
 	Outcome Outcome
-	// Upstream is the one that gets a granted request.
+	// Upstream is the upstream for a granted request.
 	Upstream upstream.Instance
-	// Wait bounds the wait of a request that waits. RetryAfter is when a request that is rejected, also after its wait, would
-	// find room by forecast.
+	// Wait is the longest time that a waiting request may wait. RetryAfter is the forecast time
+	// until a rejected request would find room, also if it is rejected after its wait.
 	Wait, RetryAfter time.Duration
-	// Opening is when upstreams that take nothing now by their own word are forecast to take the request: it is worth to look then.
+	// Opening is the forecast time until the upstreams, by their own reports, accept the request;
+	// the queue should be checked again then.
 	Opening time.Duration
 }
 
-// Grant is a request whose wait has ended with an upstream.
+// Grant is a waiting request that gets an upstream.
 type Grant struct {
 	Request  *Request
 	Upstream upstream.Instance
 }
 
 const (
-	// inTimePart is the part of a route's goal that a request may wait for room and still be answered in
-	// time. The rest is needed for the pass under way and for reading the prompt.
-	inTimePart = 0.55
-	// waitMost and waitMostPart bound the wait for room. The rest of the time is needed for the answer.
-	waitMost     = 1200 * time.Millisecond
-	waitMostPart = 0.4
-	// silence is how long callers stay with a stream that says nothing.
-	silence = 2 * time.Second
-	// againMost and againPart are the same for a caller that comes again: it does not come a third time.
-	againMost = 1800 * time.Millisecond
-	againPart = 0.5
-	// duePart is the part of its wait after which a request of a caller that comes again is due, and lateBehind what the
-	// request of a new caller that is late already comes after those: new ones may come again, others are lost.
-	duePart    = 0.7
-	lateBehind = time.Second
-	// triedPart tells callers that come again: they have less patience left than this part of the longest
-	// that callers of the route had.
-	triedPart = 0.97
-	// learnTime is how long a router that has just started takes the route's time-out for the patience of callers: after a loss of
-	// power the first that come have tried before, and it has seen nobody with more.
-	learnTime = 2 * time.Second
-	// maxWaiting bounds the requests that wait for one service at a router: each takes some 20 KB, together 10 MB of the 184 MB of
-	// the smallest routers. The first router that is back after a loss of power is named to all callers of its data centre; with 64
-	// it turned most of their last tries away while ranks were about to open.
+	// inTimeFraction is the fraction of a route's goal that a request may wait for room and still
+	// be answered in time. The rest is needed for the current pass and for reading the prompt.
+	inTimeFraction = 0.55
+	// maxWait and maxWaitFraction bound the wait for room. The rest of the time is needed for the
+	// answer.
+	maxWait         = 1200 * time.Millisecond
+	maxWaitFraction = 0.4
+	// silentStreamTimeout is how long callers stay connected to a stream without events.
+	silentStreamTimeout = 2 * time.Second
+	// maxRetryWait and retryWaitFraction are the same bounds for a retrying caller: it does not
+	// retry a second time.
+	maxRetryWait      = 1800 * time.Millisecond
+	retryWaitFraction = 0.5
+	// dueFraction is the fraction of its wait after which a retried request is due. lateDelay is
+	// added for a request of a new caller that is already late, so that it comes after those: new
+	// callers may retry, while retrying callers are lost.
+	dueFraction = 0.7
+	lateDelay   = time.Second
+	// retryFraction identifies retrying callers: their timeout is less than this fraction of the
+	// longest timeout seen on the route.
+	retryFraction = 0.97
+	// learningPeriod is how long a newly started router uses the route's timeout as the callers'
+	// full timeout. After a power failure the first callers are retries, and the router has not
+	// seen a longer timeout yet.
+	learningPeriod = 2 * time.Second
+	// maxWaiting bounds the requests that wait for one service at a router: each takes about 20 KB,
+	// together 10 MB of the 184 MB of the smallest routers. The first router that is back after a
+	// power failure gets all callers of its data centre; with 64 it rejected most of their last
+	// tries shortly before ranks opened.
 	maxWaiting = 512
-	// plainRoom is the number of requests for each slot of a plain upstream that are sent to it at most.
-	plainRoom = 2
-	// rateWindow is the time over which the rate of grants is taken.
+	// plainSlotFactor is the largest number of requests per slot that are sent to a plain upstream.
+	plainSlotFactor = 2
+	// rateWindow is the time over which the rate of grants is measured.
 	rateWindow = time.Second
-	// reportTime is about the time between two reports of a group's load.
-	reportTime = 100 * time.Millisecond
-	// retryMost bounds when a caller may come back that found all upstreams busy.
-	retryMost = 1500 * time.Millisecond
-	// idleAfter is how long no request has come when a queue is idle.
+	// reportInterval is the approximate time between two reports of a group's load.
+	reportInterval = 100 * time.Millisecond
+	// maxRetryAfter bounds the retry time of a caller that found all upstreams busy.
+	maxRetryAfter = 1500 * time.Millisecond
+	// idleAfter is the time without a request after which a queue is idle.
 	idleAfter = 2 * time.Second
-	// obeyPart is the part of the time that a caller has left for which it is told to stay away at most. The
-	// users' callers obey up to a third.
-	obeyPart = 0.3
-	// listTime is the time that a rank of a new group needs until routers know it.
-	listTime = 400 * time.Millisecond
-	// retryPlain is when a caller may come back whose request plain upstreams did not run.
-	retryPlain = 250 * time.Millisecond
+	// retryAfterFraction is the largest fraction of a caller's remaining time that it is asked to
+	// wait before a retry. The users' callers comply up to a third.
+	retryAfterFraction = 0.3
+	// listingDelay is the time until routers know a rank of a new group.
+	listingDelay = 400 * time.Millisecond
+	// plainRetryAfter is the retry time of a caller whose request plain upstreams did not run.
+	plainRetryAfter = 250 * time.Millisecond
 )
 
 // Queue holds the requests that wait for the upstreams of one service.
 type Queue struct {
 	pool    *balance.Pool
 	waiting []*Request
-	// granted holds the times of the latest grants, oldest first.
+	// granted holds the times of recent grants, oldest first.
 	granted []time.Time
-	// patience holds the longest patience seen of the callers of each route.
-	patience map[string]time.Duration
-	// firstAt and askedAt are when the first and the latest request came.
-	firstAt, askedAt time.Time
+	// longestTimeout holds the longest caller timeout seen on each route.
+	longestTimeout map[string]time.Duration
+	// firstArrival and lastArrival are when the first and the latest request arrived.
+	firstArrival, lastArrival time.Time
 }
 
 // NewQueue returns an empty queue for the upstreams of a pool.
-func NewQueue(p *balance.Pool) *Queue { return &Queue{pool: p, patience: map[string]time.Duration{}} }
+func NewQueue(p *balance.Pool) *Queue {
+	return &Queue{pool: p, longestTimeout: map[string]time.Duration{}}
+}
 
-// Arrive decides what becomes of a request that has just come, given the upstreams that may take work.
+// Arrive decides what happens to a newly arrived request, given the upstreams that may accept work.
 func (q *Queue) Arrive(now time.Time, x *Request, usable []upstream.Instance) Verdict {
-	if q.firstAt.IsZero() {
-		q.firstAt = now
+	if q.firstArrival.IsZero() {
+		q.firstArrival = now
 	}
-	q.askedAt = now
-	x.again = q.triedBefore(now, x)
-	opening := q.pool.Opening(now, usable, len(q.waiting)+1)
+	q.lastArrival = now
+	x.retried = q.isRetry(now, x)
+	opening := q.pool.TimeToAccept(now, usable, len(q.waiting)+1)
 	wait := q.wait(now, x, len(usable) == 0, opening)
 	if len(q.waiting) == 0 {
 		if u, ok := q.pick(now, x, usable); ok {
 			return Verdict{Outcome: OutcomeGranted, Upstream: u}
 		}
 	}
-	v := Verdict{Outcome: OutcomeRejected, RetryAfter: q.room(now, x, opening), Opening: opening}
+	v := Verdict{Outcome: OutcomeRejected, RetryAfter: q.retryAfter(now, x, opening), Opening: opening}
 	if len(q.waiting) < maxWaiting && wait > 0 {
-		x.due = now.Add(time.Duration(duePart * float64(wait)))
+		x.due = now.Add(time.Duration(dueFraction * float64(wait)))
 		q.waiting = append(q.waiting, x)
 		v.Outcome, v.Wait = OutcomeWaits, wait
 	}
 	return v
 }
 
-// Leave notes that a request waits no longer.
+// Leave removes a request from the queue.
 func (q *Queue) Leave(x *Request) {
 	if i := slices.Index(q.waiting, x); i >= 0 {
 		q.waiting = slices.Delete(q.waiting, i, i+1)
 	}
 }
 
-// Wake returns the waiting requests that there is room for now. One that has tried the only upstream with room does not
-// keep the others from it.
+// Wake returns the waiting requests for which there is room now. A request that has already tried
+// the only upstream with room does not block the others.
 func (q *Queue) Wake(now time.Time, usable []upstream.Instance) []Grant {
 	var out []Grant
-	var passed []*Request
-	for x := q.first(now, passed); x != nil; x = q.first(now, passed) {
+	var skipped []*Request
+	for x := q.next(now, skipped); x != nil; x = q.next(now, skipped) {
 		u, ok := q.pick(now, x, usable)
 		switch {
 		case ok:
 			q.Leave(x)
 			out = append(out, Grant{Request: x, Upstream: u})
 		case len(x.Ask.Exclude) > 0:
-			passed = append(passed, x)
+			skipped = append(skipped, x)
 		default:
 			return out
 		}
@@ -178,37 +189,37 @@
 	return out
 }
 
-// Wanted forecasts how many requests could be sent until the next report of a group's load.
+// Wanted forecasts how many requests could be sent until the next load report of a group.
 func (q *Queue) Wanted(now time.Time) int {
-	return len(q.waiting) + int(math.Ceil(q.Rate(now)*reportTime.Seconds()))
+	return len(q.waiting) + int(math.Ceil(q.Rate(now)*reportInterval.Seconds()))
 }
 
-// Idle reports whether nobody waits and no request has come for a while.
+// Idle reports whether the queue is empty and no request has arrived for a while.
 func (q *Queue) Idle(now time.Time) bool {
-	return len(q.waiting) == 0 && now.Sub(q.askedAt) > idleAfter
+	return len(q.waiting) == 0 && now.Sub(q.lastArrival) > idleAfter
 }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return len(q.waiting) }
 
-// AfterNotRun forecasts when a request finds room that upstreams did not run.
+// AfterNotRun forecasts when a request that upstreams did not run finds room.
 func (q *Queue) AfterNotRun(now time.Time, x *Request, usable []upstream.Instance) time.Duration {
-	after := retryPlain
+	after := plainRetryAfter
 	if x.Ask.Engine != nil {
-		// Ranks refuse what they get while their group is broken.
-		after = q.back(now, x, x.Ask.Engine)
+		// Ranks reject requests while their group is broken.
+		after = q.reopening(now, x, x.Ask.Engine)
 	}
-	return max(after, told(q.pool.Opening(now, usable, len(q.waiting)+1)))
+	return max(after, openingRetryAfter(q.pool.TimeToAccept(now, usable, len(q.waiting)+1)))
 }
 
-// pick chooses an upstream and notes the attempt.
+// pick chooses an upstream and records the attempt.
 func (q *Queue) pick(now time.Time, x *Request, usable []upstream.Instance) (upstream.Instance, bool) {
 	if len(usable) == 0 || q.closed(now, x) {
 		return upstream.Instance{}, false
 	}
 	ask := x.Ask
 	if ask.Engine == nil {
-		ask.Bounds.Rank = plainRoom * usable[0].Slots
+		ask.Bounds.Rank = plainSlotFactor * usable[0].Slots
 	}
 	u, ok := q.pool.Pick(now, usable, ask)
 	if ok {
@@ -218,13 +229,13 @@
 	return u, ok
 }
 
-// closed reports whether no rank would take the request now: a coordinator tells that the groups are broken, or, where none tells,
-// the ranks turn everything away.
+// closed reports whether no rank would accept the request now: a coordinator reports that the
+// groups are broken or, without a coordinator's report, the ranks reject everything.
 func (q *Queue) closed(now time.Time, x *Request) bool {
-	return q.pool.Closed(now) || x.Ask.Engine != nil && q.pool.TurnsAway(now)
+	return q.pool.Closed(now) || x.Ask.Engine != nil && q.pool.Rejecting(now)
 }
 
-// Rate returns the requests granted in the last second, and forgets earlier ones.
+// Rate returns the number of grants per second over rateWindow, and drops older grants.
 func (q *Queue) Rate(now time.Time) float64 {
 	old := 0
 	for old < len(q.granted) && now.Sub(q.granted[old]) > rateWindow {
--- a/services/admission/admission_test.go
+++ b/services/admission/admission_test.go
@@ -15,7 +15,7 @@
 	"fawnwinch.org/fawnwinch/services/condition"
 )
 
-// TestWait checks which requests wait for room, and when those that are refused are told to come again.
+// TestWait checks which requests wait for room, and which retry time rejected ones get.
 func TestWait(t *testing.T) {
 	now := time.Unix(1000, 0)
 	engine := &catalog.Engine{Slots: 12, FormTime: 600 * time.Millisecond}
@@ -24,19 +24,19 @@
 		waiting  int
 		granted  int
 		broken   bool
-		nobody   bool
+		unlisted bool
 		want     time.Duration
 	}{
-		"new, a short queue":                   {8 * time.Second, 0, 10, false, false, waitMost},
-		"new, a queue that is let in in time":  {8 * time.Second, 9, 10, false, false, waitMost},
+		"new, a short queue":                   {8 * time.Second, 0, 10, false, false, maxWait},
+		"new, a queue that is let in in time":  {8 * time.Second, 9, 10, false, false, maxWait},
 		"new, a long queue":                    {8 * time.Second, 12, 10, false, false, 0},
 		"new, little time is left":             {time.Second, 3, 10, false, false, 400 * time.Millisecond},
-		"comes again, a long queue":            {7 * time.Second, 12, 10, false, false, againMost},
+		"comes again, a long queue":            {7 * time.Second, 12, 10, false, false, maxRetryWait},
 		"comes again, little time is left":     {time.Second, 12, 10, false, false, 500 * time.Millisecond},
 		"new, the group is broken":             {8 * time.Second, 0, 10, true, false, 0},
-		"comes again, the group is broken":     {7 * time.Second, 0, 10, true, false, againMost},
+		"comes again, the group is broken":     {7 * time.Second, 0, 10, true, false, maxRetryWait},
 		"new, no upstream is listed":           {8 * time.Second, 0, 10, false, true, 0},
-		"comes again, no upstream is listed":   {7 * time.Second, 0, 10, false, true, againMost},
+		"comes again, no upstream is listed":   {7 * time.Second, 0, 10, false, true, maxRetryWait},
 		"new, nothing was let in for a second": {8 * time.Second, 1, 0, false, false, 0},
 	}
 	for name, c := range cases {
@@ -45,7 +45,7 @@
 			if strings.HasPrefix(name, "new") {
 				full = c.patience
 			}
-			q := &Queue{pool: balance.NewPool(""), patience: map[string]time.Duration{"r": full}, waiting: make([]*Request, c.waiting)}
+			q := &Queue{pool: balance.NewPool(""), longestTimeout: map[string]time.Duration{"r": full}, waiting: make([]*Request, c.waiting)}
 			for range c.granted {
 				q.granted = append(q.granted, now)
 			}
@@ -53,20 +53,20 @@
 				q.pool.Report(now, balance.Group{}, nil)
 			}
 			x := &Request{Route: "r", Goal: 500 * time.Millisecond, Arrived: now, Deadline: now.Add(c.patience), Patience: c.patience, Ask: balance.Ask{Engine: engine}}
-			x.again = q.triedBefore(now, x)
-			if got := q.wait(now, x, c.nobody, 0); got != c.want {
+			x.retried = q.isRetry(now, x)
+			if got := q.wait(now, x, c.unlisted, 0); got != c.want {
 				t.Errorf("waits %s, want %s", got, c.want)
 			}
-			if room := q.room(now, x, 0); c.broken && room < engine.FormTime+listTime {
+			if room := q.retryAfter(now, x, 0); c.broken && room < engine.FormTime+listingDelay {
 				t.Errorf("told to come back after %s, before the group has formed", room)
 			}
 		})
 	}
 }
 
-// TestSilence replays a group that one slow rank holds up, with more callers than it can take: who waits for room waits no longer than lets
-// the first event come before the caller leaves a stream that says nothing. Callers that were let in after 1.6 s of waiting, before
-// passes of half a second, left at 2 s, and their prompts were read in vain.
+// TestSilence overloads a group with one slow rank: a request must not wait for so long that its
+// first event comes after the caller has left the silent stream. Callers that were admitted after a
+// wait of 1.6 s, before passes of half a second, left at 2 s, and their prompts were read in vain.
 func TestSilence(t *testing.T) {
 	now := time.Unix(1000, 0)
 	engine := &catalog.Engine{Slots: 12, Stride: 4, StepMillis: 4.55, WriterMillis: 0.905, ReadPerSecond: 61_400, Chunk: 512, UsualPrompt: 800, UsualAnswer: 96, ExpertShare: 0.85, FormTime: 600 * time.Millisecond}
@@ -79,44 +79,44 @@
 		return out
 	}
 	cases := map[string]struct {
-		pace   float64
-		closed bool
-		plain  bool
-		again  time.Duration
+		pace      float64
+		closed    bool
+		plain     bool
+		retryWait time.Duration
 	}{
-		"all ranks as usual":       {1, false, false, againMost},
+		"all ranks as usual":       {1, false, false, maxRetryWait},
 		"a rank three times slow":  {3, false, false, 0},
 		"a rank twelve times slow": {12, false, false, 0},
 		"a rank thirty times slow": {30, false, false, 0},
-		"the group is closed":      {12, true, false, againMost},
-		"a plain service":          {12, false, true, againMost},
+		"the group is closed":      {12, true, false, maxRetryWait},
+		"a plain service":          {12, false, true, maxRetryWait},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			q := NewQueue(balance.NewPool(""))
 			g := balance.Group{ID: "g", Open: !c.closed, Ranks: ranks(c.pace), Skew: 1.3}
 			q.pool.Report(now, g, nil)
-			x := &Request{Route: "r", Arrived: now, Deadline: now.Add(7 * time.Second), Patience: 7 * time.Second, Ask: balance.Ask{Engine: engine}, again: true}
+			x := &Request{Route: "r", Arrived: now, Deadline: now.Add(7 * time.Second), Patience: 7 * time.Second, Ask: balance.Ask{Engine: engine}, retried: true}
 			if c.plain {
 				x.Ask.Engine = nil
 			}
-			want := c.again
+			want := c.retryWait
 			if want == 0 {
-				want = max(min(againMost, silence-balance.FirstEvent(engine, g.Load())), 0)
+				want = max(min(maxRetryWait, silentStreamTimeout-balance.FirstEvent(engine, g.Load())), 0)
 			}
 			got := q.wait(now, x, false, 0)
 			if got != want {
 				t.Errorf("waits %s, want %s", got, want)
 			}
-			if first := balance.FirstEvent(engine, g.Load()); !c.closed && !c.plain && got > 0 && got+first > silence {
+			if first := balance.FirstEvent(engine, g.Load()); !c.closed && !c.plain && got > 0 && got+first > silentStreamTimeout {
 				t.Errorf("waits %s and then %s for its first event, longer than its caller stays", got, first)
 			}
 		})
 	}
 }
 
-// TestBacklog checks that the wait is forecast by what waits at all routers where a coordinator tells it: one of many routers
-// has too few requests to tell.
+// TestBacklog checks that the forecast uses the backlog of all routers if a coordinator reports it:
+// one of many routers has too few requests for a forecast.
 func TestBacklog(t *testing.T) {
 	now := time.Unix(1000, 0)
 	second := float64(time.Second)
@@ -126,10 +126,10 @@
 		want             time.Duration
 	}{
 		"nothing is told: by own grants":             {3, 2, nil, 2 * time.Second},
-		"places are left":                            {1, 0, &balance.Backlog{Waiting: 3, Free: 40, Rate: 300}, reportTime},
-		"more wait than there are places":            {1, 0, &balance.Backlog{Waiting: 100, Free: 41, Rate: 300}, reportTime + time.Duration(0.2*second)},
-		"the own queue is longer than was told":      {9, 0, &balance.Backlog{Waiting: 3, Rate: 10}, reportTime + time.Second},
-		"a group that has not let anybody in so far": {0, 0, &balance.Backlog{Waiting: 4}, reportTime + 5*time.Second},
+		"places are left":                            {1, 0, &balance.Backlog{Waiting: 3, Free: 40, Rate: 300}, reportInterval},
+		"more wait than there are places":            {1, 0, &balance.Backlog{Waiting: 100, Free: 41, Rate: 300}, reportInterval + time.Duration(0.2*second)},
+		"the own queue is longer than was told":      {9, 0, &balance.Backlog{Waiting: 3, Rate: 10}, reportInterval + time.Second},
+		"a group that has not let anybody in so far": {0, 0, &balance.Backlog{Waiting: 4}, reportInterval + 5*time.Second},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -148,22 +148,22 @@
 	}
 }
 
-// TestLearns checks that a router that has just started takes callers with less patience than the route's time-out for such that come
-// again, and one that has run for a while goes by what it has seen.
+// TestLearns checks that a newly started router treats callers with a timeout below the route's as
+// retries, and that it uses the timeouts it has seen after the learning period.
 func TestLearns(t *testing.T) {
 	now := time.Unix(1000, 0)
 	x := &Request{Route: "r", Patience: 6 * time.Second, Timeout: 8 * time.Second}
 	q := NewQueue(balance.NewPool(""))
-	q.firstAt = now
-	if !q.triedBefore(now, x) {
+	q.firstArrival = now
+	if !q.isRetry(now, x) {
 		t.Error("the first caller with little patience was taken for a new one")
 	}
-	if q.triedBefore(now.Add(learnTime), x) {
+	if q.isRetry(now.Add(learningPeriod), x) {
 		t.Error("callers of a route with a long time-out were taken for ones that come again")
 	}
 }
 
-// TestJustOpened checks that a queue before a group that has just opened is not thought to stand still.
+// TestJustOpened checks that the queue of a newly opened group is not forecast to be stuck.
 func TestJustOpened(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := &catalog.Engine{Slots: 6, Stride: 6, StepMillis: 4.55, WriterMillis: 1.99, ReadPerSecond: 61_400, Chunk: 512, UsualPrompt: 835, UsualAnswer: 90, ExpertShare: 0.85}
@@ -181,11 +181,11 @@
 	}
 }
 
-// TestBack checks when callers of a broken group are told to come again.
+// TestBack checks the retry time for callers of a broken group.
 func TestBack(t *testing.T) {
 	now := time.Unix(1000, 0)
 	engine := &catalog.Engine{FormTime: 600 * time.Millisecond}
-	forms := engine.FormTime + listTime
+	forms := engine.FormTime + listingDelay
 	cases := map[string]struct {
 		groups []balance.Group
 		left   time.Duration
@@ -203,24 +203,24 @@
 			for _, g := range c.groups {
 				q.pool.Report(now, g, nil)
 			}
-			if got := q.back(now, &Request{Deadline: now.Add(c.left)}, engine); got != c.want {
+			if got := q.reopening(now, &Request{Deadline: now.Add(c.left)}, engine); got != c.want {
 				t.Errorf("told %s, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// TestFirst checks who is let in first: those that can still be answered in time by the time that is left for it, callers that
-// come again when they are due, and new ones that are late after these.
+// TestFirst checks the order of admission: requests that can still be answered in time by the time
+// left for that, retried requests when they are due, and new requests that are late after these.
 func TestFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const goal = time.Second
 	in := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	fresh := func(inTime, deadline int) *Request {
-		return &Request{Arrived: in(inTime).Add(-time.Duration(inTimePart * float64(goal))), Goal: goal, Deadline: in(deadline), due: in(800)}
+		return &Request{Arrived: in(inTime).Add(-time.Duration(inTimeFraction * float64(goal))), Goal: goal, Deadline: in(deadline), due: in(800)}
 	}
-	again := func(due, deadline int) *Request {
-		return &Request{Arrived: now, Goal: goal, Deadline: in(deadline), again: true, due: in(due)}
+	retried := func(due, deadline int) *Request {
+		return &Request{Arrived: now, Goal: goal, Deadline: in(deadline), retried: true, due: in(due)}
 	}
 	cases := map[string]struct {
 		waiting []*Request
@@ -231,28 +231,28 @@
 		"in time, the one with less for it":   {[]*Request{fresh(200, 8000), fresh(100, 8000), fresh(150, 300)}, 1},
 		"all late: the caller that is going":  {[]*Request{fresh(-100, 5000), fresh(-200, 6000), fresh(-50, 4000)}, 2},
 		"the end of its time counts as late":  {[]*Request{fresh(0, 100), fresh(1, 8000)}, 1},
-		"in time before one that comes again": {[]*Request{again(900, 5000), fresh(200, 8000)}, 1},
-		"comes again and is due":              {[]*Request{fresh(200, 8000), again(100, 5000)}, 1},
-		"comes again before new and late":     {[]*Request{fresh(-1, 4000), again(1200, 5000)}, 1},
+		"in time before one that comes again": {[]*Request{retried(900, 5000), fresh(200, 8000)}, 1},
+		"comes again and is due":              {[]*Request{fresh(200, 8000), retried(100, 5000)}, 1},
+		"comes again before new and late":     {[]*Request{fresh(-1, 4000), retried(1200, 5000)}, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			q := &Queue{waiting: c.waiting}
-			got := q.first(now, nil)
+			got := q.next(now, nil)
 			if got != c.waiting[c.want] {
 				t.Errorf("%d is let in, want %d", slices.Index(c.waiting, got), c.want)
 			}
-			if next := q.first(now, []*Request{got}); next == got {
+			if second := q.next(now, []*Request{got}); second == got {
 				t.Error("a request that was passed over is let in")
 			}
 		})
 	}
-	if got := (&Queue{}).first(now, nil); got != nil {
+	if got := (&Queue{}).next(now, nil); got != nil {
 		t.Error("somebody is let in although nobody waits")
 	}
 }
 
-// TestWake checks that a request which has tried the only upstream with room does not keep others from it.
+// TestWake checks that a request which has tried the only upstream with room does not block others.
 func TestWake(t *testing.T) {
 	now := time.Unix(1000, 0)
 	u := upstream.Instance{ID: "u0", Service: "s", Address: "a0", Slots: 1, State: upstream.StateReady}
@@ -266,8 +266,9 @@
 	}
 }
 
-// TestClosedUpstreams checks that a request is rejected at once, and its caller told the time, if the upstreams take it too late by their own
-// word: a service that loses most of its rate must not hold what it cannot serve.
+// TestClosedUpstreams checks that a request is rejected immediately, with a retry time, if the
+// upstreams report that they accept it too late: a service that loses most of its rate must not
+// hold requests that it cannot serve.
 func TestClosedUpstreams(t *testing.T) {
 	now := time.Unix(1000, 0)
 	limited := upstream.Instance{ID: "limited", Service: "s", Address: "a", Slots: 6}
@@ -276,7 +277,7 @@
 		usable  []upstream.Instance
 		opening time.Duration
 		waited  time.Duration
-		again   bool
+		retried bool
 		want    Outcome
 	}{
 		"takes requests now":                       {[]upstream.Instance{limited}, 0, 0, false, OutcomeGranted},
@@ -292,9 +293,9 @@
 			pool.Conditions().Note(now, now, limited.Run(), upstream.Notice{Limited: true, Limit: 1})
 			pool.Conditions().Answered(now, now, limited.Run(), condition.Reply{Again: c.opening})
 			q := NewQueue(pool)
-			q.patience["r"] = 4 * time.Second
+			q.longestTimeout["r"] = 4 * time.Second
 			x := &Request{Route: "r", Goal: 300 * time.Millisecond, Arrived: now, Deadline: now.Add(4 * time.Second), Patience: 4 * time.Second, Waited: c.waited}
-			if c.again {
+			if c.retried {
 				x.Patience = 3 * time.Second
 			}
 			v := q.Arrive(now, x, c.usable)
--- a/services/admission/forecast.go
+++ b/services/admission/forecast.go
@@ -11,93 +11,97 @@
 	"fawnwinch.org/fawnwinch/services/condition"
 )
 
-// queueWait forecasts how long it takes until all that wait are let in, and one more. Where a coordinator tells what waits
-// at all routers, that and its rate count: the requests of one of many routers are too few to tell. While a group has just opened
-// nobody was let in yet, and what its ranks can do by forecast counts: callers were rejected for a rate of nothing.
+// queueWait forecasts the time until all waiting requests and one more are admitted. If a
+// coordinator reports the backlog and rate of all routers, these are used: one of many routers has
+// too few requests for a forecast. A newly opened group has not admitted anything yet, so the
+// forecast throughput of its ranks is used; callers were rejected because of a rate of zero.
 func (q *Queue) queueWait(now time.Time, e *catalog.Engine, b balance.Bounds) time.Duration {
 	ahead, rate := float64(len(q.waiting)+1), q.Rate(now)
 	if ranks, opened := q.pool.OpenRanks(now, rateWindow); opened && e != nil {
-		rate = max(rate, float64(ranks)*balance.Drain(e, q.pool.GroupLoad(now), b))
+		rate = max(rate, float64(ranks)*balance.DrainRate(e, q.pool.GroupLoad(now), b))
 	}
 	wait := 0.0
 	if b, ok := q.pool.Backlog(now); ok {
 		ahead = max(ahead, float64(b.Waiting+1)) - float64(b.Free)
 		rate = max(rate, b.Rate)
-		wait = reportTime.Seconds()
+		wait = reportInterval.Seconds()
 	}
 	wait += max(ahead, 0) / max(rate, 1/rateWindow.Seconds())
 	return time.Duration(wait * float64(time.Second))
 }
 
-// wait returns how long a request may wait for room; 0 if it should be rejected at once and come back
-// when there is some. Nobody says that no upstream is listed, and opening is when those that are take the request by their own word.
-func (q *Queue) wait(now time.Time, x *Request, nobody bool, opening time.Duration) time.Duration {
+// wait returns how long a request may wait for room; 0 if it should be rejected immediately and
+// retried when there is room. Unlisted reports whether no upstream is listed, and opening is the
+// time until the listed ones accept the request by their own reports.
+func (q *Queue) wait(now time.Time, x *Request, unlisted bool, opening time.Duration) time.Duration {
 	left := float64(x.Deadline.Sub(now))
-	closed := nobody || q.closed(now, x)
-	most := q.silent(now, x, closed)
-	if x.again {
-		most = min(againMost, time.Duration(againPart*left), most)
+	closed := unlisted || q.closed(now, x)
+	limit := q.maxSilentWait(now, x, closed)
+	if x.retried {
+		limit = min(maxRetryWait, time.Duration(retryWaitFraction*left), limit)
 	} else {
-		most = min(waitMost, time.Duration(waitMostPart*left), most)
+		limit = min(maxWait, time.Duration(maxWaitFraction*left), limit)
 	}
-	if most -= x.Waited; most <= opening {
+	if limit -= x.Waited; limit <= opening {
 		return 0
 	}
-	if !x.again && (closed || q.queueWait(now, x.Ask.Engine, x.Ask.Bounds) > most) {
+	if !x.retried && (closed || q.queueWait(now, x.Ask.Engine, x.Ask.Bounds) > limit) {
 		return 0
 	}
-	return most
+	return limit
 }
 
-// openingTold bounds when a caller is told to come back to upstreams that take nothing by their own word: they may say something else
-// before.
-const openingTold = 30 * time.Second
+// maxOpeningRetryAfter bounds the retry time for upstreams that accept nothing by their own
+// reports: they may change their reports earlier.
+const maxOpeningRetryAfter = 30 * time.Second
 
-// told returns when a caller is told to come back to upstreams that take requests again after a time.
-func told(opening time.Duration) time.Duration {
+// openingRetryAfter returns the retry time for upstreams that accept requests again after the given
+// time.
+func openingRetryAfter(opening time.Duration) time.Duration {
 	if opening == condition.Never {
-		return retryMost // others may take their place at any time
+		return maxRetryAfter // other upstreams may replace them at any time
 	}
-	return min(opening, openingTold)
+	return min(opening, maxOpeningRetryAfter)
 }
 
-// silent returns how long a request may wait for room and still get its first event before its caller leaves a stream that says
-// nothing. Passes of half a second, which one slow rank makes, take most of that time: callers that were let in later left, and what
-// they had asked for was worked on in vain. While a group is closed nothing is known of its next passes.
-func (q *Queue) silent(now time.Time, x *Request, closed bool) time.Duration {
+// maxSilentWait returns how long a request may wait for room and still get its first event before
+// its caller leaves the silent stream. Passes of half a second, caused by one slow rank, take most
+// of that time: callers that were admitted later left, and their requests were processed in vain.
+// The next passes of a closed group are unknown.
+func (q *Queue) maxSilentWait(now time.Time, x *Request, closed bool) time.Duration {
 	if x.Ask.Engine == nil || closed {
-		return silence
+		return silentStreamTimeout
 	}
-	return max(silence-balance.FirstEvent(x.Ask.Engine, q.pool.GroupLoad(now)), 0)
+	return max(silentStreamTimeout-balance.FirstEvent(x.Ask.Engine, q.pool.GroupLoad(now)), 0)
 }
 
-// triedBefore reports whether the caller has less patience left than others of its route had: it was
-// rejected before and comes again.
-func (q *Queue) triedBefore(now time.Time, x *Request) bool {
-	full := max(q.patience[x.Route], x.Patience)
-	q.patience[x.Route] = full
-	if now.Sub(q.firstAt) < learnTime {
+// isRetry reports whether the caller has a shorter timeout than other callers of its route, which
+// means that it was rejected before and retries. It also updates the longest timeout of the route.
+func (q *Queue) isRetry(now time.Time, x *Request) bool {
+	full := max(q.longestTimeout[x.Route], x.Patience)
+	q.longestTimeout[x.Route] = full
+	if now.Sub(q.firstArrival) < learningPeriod {
 		full = max(full, x.Timeout)
 	}
-	return x.Patience < time.Duration(triedPart*float64(full))
+	return x.Patience < time.Duration(retryFraction*float64(full))
 }
 
-// room forecasts when a request that is rejected now would find room.
-func (q *Queue) room(now time.Time, x *Request, opening time.Duration) time.Duration {
-	wait := max(min(q.queueWait(now, x.Ask.Engine, x.Ask.Bounds), retryMost), told(opening))
+// retryAfter forecasts when a request that is rejected now would find room.
+func (q *Queue) retryAfter(now time.Time, x *Request, opening time.Duration) time.Duration {
+	wait := max(min(q.queueWait(now, x.Ask.Engine, x.Ask.Bounds), maxRetryAfter), openingRetryAfter(opening))
 	if x.Ask.Engine != nil && (q.closed(now, x) || len(q.granted) == 0) {
-		return max(wait, q.back(now, x, x.Ask.Engine))
+		return max(wait, q.reopening(now, x, x.Ask.Engine))
 	}
 	return wait
 }
 
-// back forecasts when a broken group is back. It needs the time in which it forms anew, and its ranks a
-// moment to be listed. Nobody knows when a rank that is missing comes back, so a caller is told to come as
-// late as callers are willing to: it comes again only once or twice.
-func (q *Queue) back(now time.Time, x *Request, e *catalog.Engine) time.Duration {
-	forms := e.FormTime + listTime
-	if q.pool.Missing(now) {
-		return max(forms, time.Duration(obeyPart*float64(x.Deadline.Sub(now))))
+// reopening forecasts when a broken group is back: it needs its form time, and its ranks need time
+// to be listed. The return of a missing rank cannot be forecast, so the caller is asked to retry as
+// late as callers accept: it retries only once or twice.
+func (q *Queue) reopening(now time.Time, x *Request, e *catalog.Engine) time.Duration {
+	forms := e.FormTime + listingDelay
+	if q.pool.MissingRanks(now) {
+		return max(forms, time.Duration(retryAfterFraction*float64(x.Deadline.Sub(now))))
 	}
 	return forms
 }
--- a/services/balance/balance_test.go
+++ b/services/balance/balance_test.go
@@ -330,7 +330,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := NewPool("")
 			c.before(p)
-			if got := p.TurnsAway(begin.Add(c.after)); got != c.want {
+			if got := p.Rejecting(begin.Add(c.after)); got != c.want {
 				t.Errorf("turns away: %t, want %t", got, c.want)
 			}
 		})
@@ -359,12 +359,12 @@
 // TestDrain checks the forecast of completed streams per second and rank.
 func TestDrain(t *testing.T) {
 	e := *engine
-	if got := Drain(&e, GroupLoad{}, Bounds{Mean: 4}); got != 0 {
+	if got := DrainRate(&e, GroupLoad{}, Bounds{Mean: 4}); got != 0 {
 		t.Errorf("%.2f streams a second without the length of answers", got)
 	}
 	e.UsualAnswer = 24 * float64(e.Stride)
-	few, many := Drain(&e, GroupLoad{Skew: 1.5}, Bounds{Mean: 2}), Drain(&e, GroupLoad{Skew: 1.5}, Bounds{Mean: 8})
-	slow := Drain(&e, GroupLoad{Skew: 3}, Bounds{Mean: 8})
+	few, many := DrainRate(&e, GroupLoad{Skew: 1.5}, Bounds{Mean: 2}), DrainRate(&e, GroupLoad{Skew: 1.5}, Bounds{Mean: 8})
+	slow := DrainRate(&e, GroupLoad{Skew: 3}, Bounds{Mean: 8})
 	if few <= 0 || many <= few || slow >= many {
 		t.Errorf("%.2f streams a second with 2, %.2f with 8, %.2f with more skew", few, many, slow)
 	}
--- a/services/balance/group.go
+++ b/services/balance/group.go
@@ -160,14 +160,14 @@
 	recentStart = time.Second
 )
 
-// TurnsAway reports whether ranks reject requests and none answers, judged by this router's own
+// Rejecting reports whether ranks reject requests and none answers, judged by this router's own
 // requests. It is false while a coordinator reports.
-func (p *Pool) TurnsAway(now time.Time) bool {
+func (p *Pool) Rejecting(now time.Time) bool {
 	return !p.Reported(now) && p.rejectedAt.Sub(p.startedAt) > recentStart && now.Sub(p.rejectedAt) < rejectionValid
 }
 
-// Missing reports whether all recently reported groups are broken and none has all its ranks.
-func (p *Pool) Missing(now time.Time) bool {
+// MissingRanks reports whether all recently reported groups are broken and none has all its ranks.
+func (p *Pool) MissingRanks(now time.Time) bool {
 	groups := p.recentGroups(now)
 	for _, g := range groups {
 		if g.Open || g.Whole {
--- a/services/balance/opening.go
+++ b/services/balance/opening.go
@@ -35,10 +35,10 @@
 	return most, resting
 }
 
-// Opening forecasts how long it takes until upstreams accept a number of requests, from the
+// TimeToAccept forecasts how long it takes until upstreams accept a number of requests, from the
 // conditions that they report: 0 if they accept them now, condition.Never if none will. An upstream
 // with a rate limit accepts one request at a time, any other accepts any number.
-func (p *Pool) Opening(now time.Time, cands []upstream.Instance, requests int) time.Duration {
+func (p *Pool) TimeToAccept(now time.Time, cands []upstream.Instance, requests int) time.Duration {
 	if p.conditions.Empty() || len(cands) == 0 {
 		return 0
 	}
--- a/services/balance/opening_test.go
+++ b/services/balance/opening_test.go
@@ -36,7 +36,7 @@
 			p := NewPool("")
 			c.prepare(p)
 			cands := []upstream.Instance{{ID: "u0", Address: "a0"}, {ID: "u1", Address: "a1"}}
-			if got := p.Opening(begin, cands, c.requests); got != c.want {
+			if got := p.TimeToAccept(begin, cands, c.requests); got != c.want {
 				t.Errorf("opens after %s, want %s", got, c.want)
 			}
 		})
--- a/services/balance/pace.go
+++ b/services/balance/pace.go
@@ -122,9 +122,9 @@
 	return Bounds{Rank: min(mean+maxOverMean, e.Slots), Mean: mean, Unstarted: all.Unstarted}
 }
 
-// Drain returns the streams per second that a rank completes with as many streams as its bounds
+// DrainRate returns the streams per second that a rank completes with as many streams as its bounds
 // allow, which is the drain rate of a queue. It is 0 if the engine's figures are missing.
-func Drain(e *catalog.Engine, l GroupLoad, b Bounds) float64 {
+func DrainRate(e *catalog.Engine, l GroupLoad, b Bounds) float64 {
 	if e.UsualAnswer <= 0 || e.Stride <= 0 {
 		return 0
 	}
--- a/services/balance/pool.go
+++ b/services/balance/pool.go
@@ -79,7 +79,7 @@
 	// count last reported to the coordinator, and counted is the part of the latest report that
 	// comes from this router.
 	unstarted, lastReported, counted int
-	// started and ended count this router's answers that have started and ended since the report.
+	// started and ended count this router's answers that have begun and ended since the report.
 	started, ended int
 	report         RankLoad
 	// places is the number of requests that the report still allows this router to send. allotted
