--- a/services/expertswitch/coordinator.go
+++ b/services/expertswitch/coordinator.go
@@ -11,7 +11,7 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// Phase is how far a coordinator has come.
+// Phase is the stage of a coordinator's round.
 type Phase string
 
 // The phases.
@@ -30,34 +30,35 @@
 	Message Message
 }
 
-// Config holds the times of a coordinator.
+// Config holds the time-outs and margins of a coordinator.
 type Config struct {
 	// Retry is the time after which an unanswered message is sent again.
 	Retry time.Duration
 	// Margin is the number of steps between the latest known step and the step of the switch.
 	Margin group.Step
-	// StageLimit is the time after which a stage is given up.
+	// StageLimit is the time after which the stage phase is aborted.
 	StageLimit time.Duration
-	// HoldLimit is the time after which a promise or a prepare is given up: ranks may be holding.
+	// HoldLimit is the time after which a promise or prepare phase ends: ranks may be holding.
 	HoldLimit time.Duration
 }
 
-// Result is how a round ended.
+// Result is the outcome of a round.
 type Result string
 
 // The results.
 const (
 	// ResultNone means that no round has ended.
 	ResultNone Result = ""
-	// ResultSwitched means that every rank was told to use the map.
+	// ResultSwitched means that every rank has accepted the order to use the map.
 	ResultSwitched Result = "switched"
-	// ResultAborted means that every rank was let go without a change.
+	// ResultAborted means that every rank was released without a change.
 	ResultAborted Result = "aborted"
-	// ResultRecovered means that a round of an earlier coordinator was ended, one way or the other.
+	// ResultRecovered means that nothing of an earlier coordinator's round is left, and that there
+	// was no map to propose.
 	ResultRecovered Result = "recovered"
 	// ResultReplaced means that a later coordinator has taken over.
 	ResultReplaced Result = "replaced"
-	// ResultGivenUp means that not every rank could be asked; nothing was begun.
+	// ResultGivenUp means that not every rank answered the promise in time; nothing was started.
 	ResultGivenUp Result = "given-up"
 )
 
@@ -66,54 +67,55 @@
 	cfg   Config
 	group group.ID
 	self  group.Rank
-	run   Incarnation
+	incarnation   Incarnation
 	ranks int
 
 	phase    Phase
 	ballot   Ballot
-	seen     Ballot
+	highestSeen     Ballot
 	proposal *expertmap.Map
-	// target is the map and step of the present prepare, commit or abort.
+	// target and step are the map and step of the current prepare, commit or abort.
 	target expertmap.Version
 	step   group.Step
-	// recovering says that target is an earlier coordinator's.
+	// recovering reports whether target is from an earlier coordinator.
 	recovering bool
 	waiting    map[group.Rank]bool
 	states     map[group.Rank]services.EngineState
-	since      time.Time
+	phaseStart      time.Time
 	sentAt     time.Time
 	result     Result
 }
 
-// NewCoordinator returns an idle coordinator beside rank self of a group. Each has a random incarnation.
-func NewCoordinator(cfg Config, id group.ID, self group.Rank, run Incarnation, ranks int) *Coordinator {
-	return &Coordinator{cfg: cfg, group: id, self: self, run: run, ranks: ranks, phase: PhaseIdle, states: map[group.Rank]services.EngineState{}}
+// NewCoordinator returns an idle coordinator beside rank self of a group. The incarnation must be
+// random for each.
+func NewCoordinator(cfg Config, id group.ID, self group.Rank, incarnation Incarnation, ranks int) *Coordinator {
+	return &Coordinator{cfg: cfg, group: id, self: self, incarnation: incarnation, ranks: ranks, phase: PhaseIdle, states: map[group.Rank]services.EngineState{}}
 }
 
-// Phase returns how far the present round has come.
+// Phase returns the phase of the current round.
 func (c *Coordinator) Phase() Phase { return c.phase }
 
-// Result returns how the last round ended, once.
+// Result returns the outcome of the last round and clears it.
 func (c *Coordinator) Result() Result {
 	r := c.result
 	c.result = ResultNone
 	return r
 }
 
-// States returns what the ranks told when they last answered.
+// States returns the states that the ranks reported in their last answers.
 func (c *Coordinator) States() map[group.Rank]services.EngineState { return c.states }
 
-// Seen notes a ballot that another process uses.
-func (c *Coordinator) Seen(b Ballot) { c.seen = max(c.seen, b) }
+// Seen records a ballot that another process uses.
+func (c *Coordinator) Seen(b Ballot) { c.highestSeen = max(c.highestSeen, b) }
 
-// Start begins a round that ends what an earlier coordinator left behind and then proposes a map.
-// A nil map only ends what was left behind. The proposal gets its version from the ballot.
+// Start begins a round that completes or aborts an earlier coordinator's round and then proposes a
+// map. With a nil map it proposes nothing. The proposal gets its version from the ballot.
 func (c *Coordinator) Start(now time.Time, proposal *expertmap.Map) []Send {
 	if c.phase != PhaseIdle {
 		return nil
 	}
-	c.ballot = NewBallot(Counter(max(c.seen, c.ballot))+1, c.self, c.run)
-	c.seen = max(c.seen, c.ballot)
+	c.ballot = NewBallot(Counter(max(c.highestSeen, c.ballot))+1, c.self, c.incarnation)
+	c.highestSeen = max(c.highestSeen, c.ballot)
 	c.proposal = proposal
 	if proposal != nil {
 		c.proposal = proposal.Clone()
@@ -122,9 +124,9 @@
 	return c.enter(now, PhasePromise)
 }
 
-// enter begins a phase at every rank.
+// enter begins a phase and returns its messages to all ranks.
 func (c *Coordinator) enter(now time.Time, p Phase) []Send {
-	c.phase, c.since = p, now
+	c.phase, c.phaseStart = p, now
 	c.waiting = map[group.Rank]bool{}
 	for r := range c.ranks {
 		c.waiting[group.Rank(r)] = true
@@ -132,7 +134,7 @@
 	return c.send(now)
 }
 
-// send sends the phase's message to every rank that has not answered.
+// send returns the phase's message for every rank that has not answered.
 func (c *Coordinator) send(now time.Time) []Send {
 	c.sentAt = now
 	var out []Send
@@ -165,18 +167,18 @@
 	return m
 }
 
-// Tick sends again what got no answer, and gives up a phase that takes too long.
-// A commit or an abort is never given up.
+// Tick resends unanswered messages and ends a phase that takes too long. A commit or an abort has
+// no time-out.
 func (c *Coordinator) Tick(now time.Time) []Send {
 	if c.phase == PhaseIdle {
 		return nil
 	}
-	took := now.Sub(c.since)
+	elapsed := now.Sub(c.phaseStart)
 	switch {
-	case c.phase == PhasePromise && took >= c.cfg.HoldLimit:
+	case c.phase == PhasePromise && elapsed >= c.cfg.HoldLimit:
 		c.end(ResultGivenUp)
 		return nil
-	case c.phase == PhaseStage && took >= c.cfg.StageLimit, c.phase == PhasePrepare && took >= c.cfg.HoldLimit:
+	case c.phase == PhaseStage && elapsed >= c.cfg.StageLimit, c.phase == PhasePrepare && elapsed >= c.cfg.HoldLimit:
 		return c.enter(now, PhaseAbort)
 	}
 	if now.Sub(c.sentAt) < c.cfg.Retry {
@@ -189,14 +191,14 @@
 	c.phase, c.result, c.recovering = PhaseIdle, r, false
 }
 
-// Receive takes in a rank's answer.
+// Receive processes a rank's answer.
 func (c *Coordinator) Receive(now time.Time, from group.Rank, r Reply) []Send {
-	c.seen = max(c.seen, r.Promised)
+	c.highestSeen = max(c.highestSeen, r.Promised)
 	if c.phase == PhaseIdle || r.Ballot != c.ballot || r.Kind != c.message().Kind || !c.waiting[from] {
 		return nil
 	}
 	if !r.OK {
-		return c.refused(now, r)
+		return c.handleRefusal(now, r)
 	}
 	delete(c.waiting, from)
 	c.states[from] = r.State
@@ -206,8 +208,8 @@
 	return c.advance(now)
 }
 
-// refused deals with a rank that will not do as asked.
-func (c *Coordinator) refused(now time.Time, r Reply) []Send {
+// handleRefusal handles a rank's refusal.
+func (c *Coordinator) handleRefusal(now time.Time, r Reply) []Send {
 	if r.Promised > c.ballot {
 		c.end(ResultReplaced)
 		return nil
@@ -222,14 +224,14 @@
 func (c *Coordinator) advance(now time.Time) []Send {
 	switch c.phase {
 	case PhasePromise:
-		return c.learned(now)
+		return c.resolveEarlierRound(now)
 	case PhaseStage:
 		c.target, c.step = c.proposal.Version, c.latestStep()+c.cfg.Margin
 		return c.enter(now, PhasePrepare)
 	case PhasePrepare:
 		return c.enter(now, PhaseCommit)
 	case PhaseCommit, PhaseAbort:
-		return c.finished(now)
+		return c.completePhase(now)
 	case PhaseIdle:
 	}
 	return nil
@@ -243,22 +245,23 @@
 	return s
 }
 
-// learned decides what to do about an earlier round, from what all ranks have told.
-func (c *Coordinator) learned(now time.Time) []Send {
-	held, told := false, false
+// resolveEarlierRound decides how to end an earlier round from the states that all ranks reported.
+func (c *Coordinator) resolveEarlierRound(now time.Time) []Send {
+	held, switching := false, false
 	for _, st := range c.states {
 		if st.SwitchMap != 0 {
-			c.target, c.step, told = st.SwitchMap, st.SwitchAt, true
+			c.target, c.step, switching = st.SwitchMap, st.SwitchAt, true
 		}
 		held = held || st.Hold != 0
 	}
 	switch {
-	case told && held:
-		// A rank was told to switch and another still holds: the decision was to commit.
+	case switching && held:
+		// One rank has the switch order and another still holds: the decision was to commit.
 		c.recovering = true
 		return c.enter(now, PhaseCommit)
-	case told:
-		// All were told, and the step is still to come: it must pass before anything new begins.
+	case switching:
+		// All ranks have the switch order, but the step is in the future: it must pass before a new
+		// round begins.
 		c.waitForStep(now)
 		return nil
 	case held:
@@ -269,7 +272,7 @@
 	}
 }
 
-// waitForStep asks all ranks again after a while.
+// waitForStep has all ranks asked again after the retry interval.
 func (c *Coordinator) waitForStep(now time.Time) {
 	for r := range c.ranks {
 		c.waiting[group.Rank(r)] = true
@@ -286,8 +289,9 @@
 	return c.enter(now, PhaseStage)
 }
 
-// finished ends a commit or an abort. After an earlier coordinator's round the own proposal follows.
-func (c *Coordinator) finished(now time.Time) []Send {
+// completePhase ends a commit or an abort. After an earlier coordinator's round, a new promise phase
+// leads to this coordinator's own proposal.
+func (c *Coordinator) completePhase(now time.Time) []Send {
 	if c.recovering {
 		c.recovering = false
 		return c.enter(now, PhasePromise)
--- a/services/expertswitch/explore_test.go
+++ b/services/expertswitch/explore_test.go
@@ -16,14 +16,14 @@
 
 const exploreRanks = 3
 
-// engine is one rank of a naive group: it steps only when no rank holds.
+// engine simulates one rank of a group that steps only when no rank holds.
 type engine struct {
 	state  services.EngineState
-	checks bool
+	checksFence bool
 }
 
 func (e *engine) order(o services.Order) bool {
-	if e.checks && o.Fence < e.state.Fence {
+	if e.checksFence && o.Fence < e.state.Fence {
 		return false
 	}
 	e.state.Fence = max(e.state.Fence, o.Fence)
@@ -55,7 +55,7 @@
 	reply *Reply
 }
 
-// pendingOrder is an order that an agent has admitted and not yet given.
+// pendingOrder is an order that an agent has admitted and not yet given to the engine.
 type pendingOrder struct {
 	order services.Order
 	env   envelope
@@ -68,16 +68,16 @@
 	agents   []*Participant
 	pending  []*pendingOrder
 	coords   []*Coordinator
-	wire     []envelope
+	inFlight     []envelope
 	switched int
 	mixed    bool
 	naive    bool
-	born     Incarnation
+	incarnations     Incarnation
 }
 
 func (x *explorer) newCoordinator(r group.Rank) *Coordinator {
-	x.born++
-	return NewCoordinator(exploreConfig, "g", r, x.born, exploreRanks)
+	x.incarnations++
+	return NewCoordinator(exploreConfig, "g", r, x.incarnations, exploreRanks)
 }
 
 var exploreConfig = Config{Retry: 50 * time.Millisecond, Margin: 4, StageLimit: 400 * time.Millisecond, HoldLimit: 400 * time.Millisecond}
@@ -85,7 +85,7 @@
 func newExplorer(seed uint64, naive bool) *explorer {
 	x := &explorer{rnd: rand.New(rand.NewPCG(seed, 9)), now: time.Unix(1000, 0), naive: naive}
 	for i := range exploreRanks {
-		x.engines = append(x.engines, &engine{checks: seed%2 == 0, state: services.EngineState{Rank: group.Rank(i), Map: 1, Staged: 1}})
+		x.engines = append(x.engines, &engine{checksFence: seed%2 == 0, state: services.EngineState{Rank: group.Rank(i), Map: 1, Staged: 1}})
 		p := &Participant{}
 		p.Recover(0)
 		x.agents = append(x.agents, p)
@@ -97,10 +97,10 @@
 	return x
 }
 
-func (x *explorer) post(coord int, list []Send) {
+func (x *explorer) enqueue(coord int, list []Send) {
 	for _, s := range list {
 		m := s.Message
-		x.wire = append(x.wire, envelope{to: s.To, coord: coord, msg: &m})
+		x.inFlight = append(x.inFlight, envelope{to: s.To, coord: coord, msg: &m})
 	}
 }
 
@@ -109,18 +109,18 @@
 	k := x.rnd.IntN(len(x.coords))
 	switch p := x.rnd.IntN(100); {
 	case p < 1:
-		x.post(k, x.coords[k].Start(x.now, &expertmap.Map{}))
+		x.enqueue(k, x.coords[k].Start(x.now, &expertmap.Map{}))
 	case p < 14:
-		x.post(k, x.coords[k].Tick(x.now))
+		x.enqueue(k, x.coords[k].Tick(x.now))
 	case p < 15 && x.rnd.IntN(5) == 0:
-		// A coordinator dies; its successor knows nothing.
+		// A coordinator crashes; its successor starts without state.
 		x.coords[k] = x.newCoordinator(group.Rank(k))
 	case p < 16 && x.rnd.IntN(5) == 0:
 		x.restart(x.rnd.IntN(exploreRanks))
 	case p < 60:
-		x.carry()
+		x.deliverRandom()
 	case p < 85:
-		x.give(x.rnd.IntN(exploreRanks))
+		x.executePending(x.rnd.IntN(exploreRanks))
 	default:
 		x.lockStep()
 	}
@@ -131,7 +131,7 @@
 	}
 }
 
-// restart loses what an agent kept in memory, an order it had not yet given included.
+// restart clears an agent's memory, including an order not yet given to the engine.
 func (x *explorer) restart(r int) {
 	p := &Participant{}
 	var others []Ballot
@@ -144,28 +144,28 @@
 	x.agents[r], x.pending[r] = p, nil
 }
 
-// carry delivers a random message, and sometimes delivers it again later or loses it.
-func (x *explorer) carry() {
-	if len(x.wire) == 0 {
+// deliverRandom delivers a random message, sometimes duplicates it for later and sometimes loses it.
+func (x *explorer) deliverRandom() {
+	if len(x.inFlight) == 0 {
 		return
 	}
-	i := x.rnd.IntN(len(x.wire))
-	e := x.wire[i]
+	i := x.rnd.IntN(len(x.inFlight))
+	e := x.inFlight[i]
 	if x.rnd.IntN(8) > 0 {
-		x.wire = append(x.wire[:i], x.wire[i+1:]...)
+		x.inFlight = append(x.inFlight[:i], x.inFlight[i+1:]...)
 	}
 	if x.rnd.IntN(10) == 0 {
 		return
 	}
 	if e.reply != nil {
-		x.post(e.coord, x.coords[e.coord].Receive(x.now, e.from, *e.reply))
+		x.enqueue(e.coord, x.coords[e.coord].Receive(x.now, e.from, *e.reply))
 		return
 	}
 	x.deliver(e)
 }
 
 func (x *explorer) deliver(e envelope) {
-	if x.engines[e.to].checks && x.rnd.IntN(8) == 0 && x.direct(e) {
+	if x.engines[e.to].checksFence && x.rnd.IntN(8) == 0 && x.direct(e) {
 		return
 	}
 	if x.pending[e.to] != nil {
@@ -182,7 +182,7 @@
 	x.pending[e.to] = &pendingOrder{order: o, env: e}
 }
 
-// direct gives an order to an engine that checks fences, past its agent.
+// direct sends an order to an engine that checks fences, bypassing its agent.
 func (x *explorer) direct(e envelope) bool {
 	if !e.msg.Direct() {
 		return false
@@ -192,12 +192,12 @@
 	if !ok {
 		r.Promised = x.engines[e.to].state.Fence
 	}
-	x.wire = append(x.wire, envelope{coord: e.coord, from: e.to, reply: &r})
+	x.inFlight = append(x.inFlight, envelope{coord: e.coord, from: e.to, reply: &r})
 	return true
 }
 
-// give carries out the order that an agent has admitted.
-func (x *explorer) give(r int) {
+// executePending executes the order that an agent has admitted.
+func (x *explorer) executePending(r int) {
 	p := x.pending[r]
 	if p == nil {
 		return
@@ -208,7 +208,7 @@
 
 func (x *explorer) answer(e envelope, ok bool) {
 	r := Reply{Kind: e.msg.Kind, Ballot: e.msg.Ballot, OK: ok, Promised: x.agents[e.to].Promised(), State: x.engines[e.to].state}
-	x.wire = append(x.wire, envelope{coord: e.coord, from: e.to, reply: &r})
+	x.inFlight = append(x.inFlight, envelope{coord: e.coord, from: e.to, reply: &r})
 }
 
 // lockStep lets all ranks enter the next step if none holds.
@@ -228,24 +228,25 @@
 	}
 }
 
-// settle lets one last coordinator end what is left behind, and checks that the group steps on.
-func (x *explorer) settle() error {
+// recoverGroup has a last coordinator end any unfinished round, and checks that the group continues to
+// step.
+func (x *explorer) recoverGroup() error {
 	c := x.newCoordinator(0)
 	for _, a := range x.agents {
 		c.Seen(a.Promised())
 	}
 	x.coords = []*Coordinator{c}
-	x.wire, x.pending = nil, make([]*pendingOrder, exploreRanks)
+	x.inFlight, x.pending = nil, make([]*pendingOrder, exploreRanks)
 	from := x.engines[0].state.Step
 	for range 3000 {
 		x.now = x.now.Add(10 * time.Millisecond)
-		x.post(0, c.Start(x.now, nil))
-		x.post(0, c.Tick(x.now))
-		for len(x.wire) > 0 {
-			x.carry()
+		x.enqueue(0, c.Start(x.now, nil))
+		x.enqueue(0, c.Tick(x.now))
+		for len(x.inFlight) > 0 {
+			x.deliverRandom()
 		}
 		for r := range exploreRanks {
-			x.give(r)
+			x.executePending(r)
 		}
 		x.lockStep()
 		if c.Result() == ResultRecovered && x.engines[0].state.Step > from {
@@ -263,11 +264,11 @@
 			return x, fmt.Errorf("ranks used different maps in step %d", x.engines[0].state.Step)
 		}
 	}
-	return x, x.settle()
+	return x, x.recoverGroup()
 }
 
-// TestExplore runs many schedules with two coordinators, late, lost and repeated messages, agents
-// and coordinators that die, with engines that check fences and with engines that do not.
+// TestExplore runs many random schedules with two coordinators; late, lost and duplicated messages;
+// crashes of agents and coordinators; and engines that check fences or do not.
 func TestExplore(t *testing.T) {
 	switched := 0
 	for seed := range uint64(3000) {
@@ -283,7 +284,7 @@
 	t.Logf("%d switches", switched)
 }
 
-// TestExploreFound repeats schedules that once showed a fault.
+// TestExploreFound repeats schedules that exposed faults.
 func TestExploreFound(t *testing.T) {
 	seeds := map[string]uint64{
 		"a coordinator that restarted used its ballot again": 296885,
@@ -297,7 +298,7 @@
 	}
 }
 
-// TestExploreNaive checks that the schedules break ranks that obey every coordinator.
+// TestExploreNaive checks that the schedules detect ranks that obey every coordinator.
 func TestExploreNaive(t *testing.T) {
 	for seed := range uint64(400) {
 		if x, err := explore(seed*2+1, true); err != nil && x.mixed {
--- a/services/expertswitch/participant.go
+++ b/services/expertswitch/participant.go
@@ -8,11 +8,12 @@
 // Participant decides for one rank which coordinator to obey. It does no I/O and reads no clock.
 type Participant struct {
 	promised Ballot
-	// recovered is false after a start until the promise is learnt anew.
+	// recovered reports whether the promise has been restored since the start.
 	recovered bool
 }
 
-// Recover ends the start: the promise is the highest ballot that the engine or any other rank knows.
+// Recover restores the promise after a start: it is the highest ballot that the engine or any other
+// rank has seen.
 func (p *Participant) Recover(engine Ballot, others ...Ballot) {
 	p.promised = max(p.promised, engine)
 	for _, o := range others {
@@ -21,14 +22,14 @@
 	p.recovered = true
 }
 
-// Recovered reports whether the rank may obey anyone yet.
+// Recovered reports whether the rank may obey a coordinator yet.
 func (p *Participant) Recovered() bool { return p.recovered }
 
 // Promised returns the highest ballot the rank obeys.
 func (p *Participant) Promised() Ballot { return p.promised }
 
-// Admit reports whether a message may be carried out, and the order for the engine if so.
-// It must be asked again just before the order is given if time has passed.
+// Admit returns the order for the engine, or an error if the message must not be executed. If time
+// passes before the order is given, Admit must be called again.
 func (p *Participant) Admit(m Message) (services.Order, error) {
 	if !p.recovered || m.Ballot < p.promised || (m.Kind != KindPromise && m.Ballot != p.promised) {
 		return services.Order{}, ErrOldBallot{Have: m.Ballot, Promised: p.promised}
