--- a/services/expertswitch/coordinator.go
+++ b/services/expertswitch/coordinator.go
@@ -64,16 +64,16 @@
 
 // Coordinator leads one group through a change of map. It does no I/O and reads no clock.
 type Coordinator struct {
-	cfg   Config
-	group group.ID
-	self  group.Rank
-	incarnation   Incarnation
-	ranks int
+	cfg         Config
+	group       group.ID
+	self        group.Rank
+	incarnation Incarnation
+	ranks       int
 
-	phase    Phase
-	ballot   Ballot
-	highestSeen     Ballot
-	proposal *expertmap.Map
+	phase       Phase
+	ballot      Ballot
+	highestSeen Ballot
+	proposal    *expertmap.Map
 	// target and step are the map and step of the current prepare, commit or abort.
 	target expertmap.Version
 	step   group.Step
@@ -81,7 +81,7 @@
 	recovering bool
 	waiting    map[group.Rank]bool
 	states     map[group.Rank]services.EngineState
-	phaseStart      time.Time
+	phaseStart time.Time
 	sentAt     time.Time
 	result     Result
 }
@@ -289,8 +289,8 @@
 	return c.enter(now, PhaseStage)
 }
 
-// completePhase ends a commit or an abort. After an earlier coordinator's round, a new promise phase
-// leads to this coordinator's own proposal.
+// completePhase ends a commit or an abort. After an earlier coordinator's round, a new promise
+// phase leads to this coordinator's own proposal.
 func (c *Coordinator) completePhase(now time.Time) []Send {
 	if c.recovering {
 		c.recovering = false
--- a/services/expertswitch/explore_test.go
+++ b/services/expertswitch/explore_test.go
@@ -18,7 +18,7 @@
 
 // engine simulates one rank of a group that steps only when no rank holds.
 type engine struct {
-	state  services.EngineState
+	state       services.EngineState
 	checksFence bool
 }
 
@@ -62,17 +62,17 @@
 }
 
 type explorer struct {
-	rnd      *rand.Rand
-	now      time.Time
-	engines  []*engine
-	agents   []*Participant
-	pending  []*pendingOrder
-	coords   []*Coordinator
+	rnd          *rand.Rand
+	now          time.Time
+	engines      []*engine
+	agents       []*Participant
+	pending      []*pendingOrder
+	coords       []*Coordinator
 	inFlight     []envelope
-	switched int
-	mixed    bool
-	naive    bool
-	incarnations     Incarnation
+	switched     int
+	mixed        bool
+	naive        bool
+	incarnations Incarnation
 }
 
 func (x *explorer) newCoordinator(r group.Rank) *Coordinator {
@@ -144,7 +144,8 @@
 	x.agents[r], x.pending[r] = p, nil
 }
 
-// deliverRandom delivers a random message, sometimes duplicates it for later and sometimes loses it.
+// deliverRandom delivers a random message, sometimes duplicates it for later and sometimes loses
+// it.
 func (x *explorer) deliverRandom() {
 	if len(x.inFlight) == 0 {
 		return
@@ -228,8 +229,8 @@
 	}
 }
 
-// recoverGroup has a last coordinator end any unfinished round, and checks that the group continues to
-// step.
+// recoverGroup has a last coordinator end any unfinished round, and checks that the group continues
+// to step.
 func (x *explorer) recoverGroup() error {
 	c := x.newCoordinator(0)
 	for _, a := range x.agents {
--- a/services/expertswitch/message.go
+++ b/services/expertswitch/message.go
@@ -8,9 +8,9 @@
 // therefore costs no availability, and no process outside the group is needed for agreement. A
 // coordinator with a ballot first has every rank promise to obey no lower ballot. It then has every
 // rank load the new weights and hold before a step in the near future. Once all ranks hold, it
-// orders them to switch at that step. If a coordinator fails, its successor uses a higher ballot and
-// learns the decision from the ranks' answers: if any rank was ordered to switch, all are; otherwise
-// all are released.
+// orders them to switch at that step. If a coordinator fails, its successor uses a higher ballot
+// and learns the decision from the ranks' answers: if any rank was ordered to switch, all are;
+// otherwise all are released.
 package expertswitch
 
 import (
--- a/services/mapswitch/explore_test.go
+++ b/services/mapswitch/explore_test.go
@@ -14,73 +14,75 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// engine is one rank of the model of a group that the explorer plays.
+// engine simulates one rank of a group.
 type engine struct {
 	services.RankStatus
 	fence  services.Fence
 	newest expertmap.Version
-	// frozen is the turn up to which the engine answers nobody; passes go on.
+	// frozen is the round until which the engine does not answer; passes continue.
 	frozen int
-	// agent is what the agent beside the engine remembers, and heard the highest authority that it has heard of.
-	agent services.RankNotes
-	heard services.Fence
-	// start numbers the starts of the agent.
-	start int
+	// agent is what the agent beside the engine remembers, and highestAuthority the highest
+	// authority it received.
+	agent            services.RankNotes
+	highestAuthority services.Fence
+	// run counts the restarts of the agent.
+	run int
 }
 
-// lateOrder is an order that is carried out when nobody waits for its answer any more.
+// lateOrder is an order that is executed after its sender has stopped waiting for the answer.
 type lateOrder struct {
 	rank  group.Rank
 	order services.RankOrder
 	at    int
-	// start is that of the agent that it was sent to; another one does not take it.
-	start int
+	// run identifies the run of the agent that it was sent to; a later run does not receive it.
+	run int
 }
 
-// world is a group with its engines, coordinators and the orders on their way.
-type world struct {
+// simulation holds a simulated group with its engines, its coordinators and the orders in flight.
+type simulation struct {
 	t    *testing.T
 	seed uint64
-	// trace is set to log what happens.
+	// trace enables logging of all events.
 	trace bool
 	rand  *rand.Rand
-	// abandon draws whether a coordinator gives its change up; nil if none ever does.
-	abandon *rand.Rand
-	given   int
-	// freeze draws when a VM freezes with its engine; nil if none does. Without counts the settlements without one.
-	freeze  *rand.Rand
-	without int
-	now     time.Time
-	ranks   []*engine
-	late    []lateOrder
-	coords  []*player
-	passes  int
-	changes int
-	turn    int
+	// abandonRand decides whether a coordinator abandons its change; nil if none ever does.
+	abandonRand *rand.Rand
+	abandoned   int
+	// freezeRand decides when a VM freezes with its engine; nil if none does. resolvedWithout
+	// counts the machines that SettleWithout returned.
+	freezeRand      *rand.Rand
+	resolvedWithout int
+	now             time.Time
+	ranks           []*engine
+	late            []lateOrder
+	coords          []*simCoordinator
+	passes          int
+	changes         int
+	round           int
 }
 
-// player is one coordinator: its fence, its machine, and the orders that it has sent.
-type player struct {
+// simCoordinator is one coordinator: its fence, its machine and its orders not yet delivered.
+type simCoordinator struct {
 	self    group.Rank
 	fence   services.Fence
 	version expertmap.Version
 	machine *Machine
 	pending expertmap.Version
-	wire    []Send
+	outbox  []Send
 	dead    bool
 	frozen  int
 }
 
-func (w *world) apply(r group.Rank, o services.RankOrder) services.RankAnswer {
-	a := w.ranks[r].give(o)
+func (w *simulation) apply(r group.Rank, o services.RankOrder) services.RankAnswer {
+	a := w.ranks[r].execute(o)
 	if w.trace {
-		w.t.Logf("turn %d: rank %d: %s fence=%x version=%x step=%d: %s", w.turn, r, o.Kind, o.Fence, o.Version, o.Step, a)
+		w.t.Logf("turn %d: rank %d: %s fence=%x version=%x step=%d: %s", w.round, r, o.Kind, o.Fence, o.Version, o.Step, a)
 	}
 	return a
 }
 
-// give carries an order out by the agent.
-func (e *engine) give(o services.RankOrder) services.RankAnswer {
+// execute executes an order through the agent.
+func (e *engine) execute(o services.RankOrder) services.RankAnswer {
 	authority := o.Fence >> 32
 	if o.Kind != services.RankAnnounce {
 		a := e.apply(o)
@@ -90,7 +92,7 @@
 		return a
 	}
 	switch {
-	case authority < e.heard:
+	case authority < e.highestAuthority:
 		return services.RankFenced
 	case e.agent.Prepared != o.Version:
 		return services.RankConflict
@@ -150,8 +152,8 @@
 	return services.RankDone
 }
 
-// pass lets the group begin its next pass, unless a rank holds it, and checks the maps.
-func (w *world) pass() {
+// pass begins the group's next pass unless a rank holds it, and checks that all maps are the same.
+func (w *simulation) pass() {
 	next := w.ranks[0].Step + 1
 	for _, e := range w.ranks {
 		if e.Holds && e.Held <= next {
@@ -167,7 +169,7 @@
 	}
 	w.passes++
 	if w.trace {
-		w.t.Logf("turn %d: pass %d", w.turn, next)
+		w.t.Logf("turn %d: pass %d", w.round, next)
 	}
 	for r, e := range w.ranks {
 		if e.Map != w.ranks[0].Map {
@@ -176,41 +178,41 @@
 	}
 }
 
-// silent returns the ranks that answer nobody.
-func (w *world) silent() []group.Rank {
+// silent returns the ranks that do not answer.
+func (w *simulation) silent() []group.Rank {
 	var out []group.Rank
 	for r, e := range w.ranks {
-		if e.frozen > w.turn {
+		if e.frozen > w.round {
 			out = append(out, group.Rank(r))
 		}
 	}
 	return out
 }
 
-// ask returns the status of a rank as its agent tells a coordinator.
-func (w *world) ask(p *player, r int) services.RankStatus {
+// statusOf returns the status of a rank as its agent reports it to a coordinator.
+func (w *simulation) statusOf(p *simCoordinator, r int) services.RankStatus {
 	e := w.ranks[r]
-	e.heard = max(e.heard, p.fence>>32)
+	e.highestAuthority = max(e.highestAuthority, p.fence>>32)
 	s := e.RankStatus
 	s.Noted = e.agent
 	return s
 }
 
-func (w *world) statuses(p *player) []services.RankStatus {
+func (w *simulation) statuses(p *simCoordinator) []services.RankStatus {
 	out := make([]services.RankStatus, len(w.ranks))
 	for r, e := range w.ranks {
-		if e.frozen <= w.turn {
-			out[r] = w.ask(p, r)
+		if e.frozen <= w.round {
+			out[r] = w.statusOf(p, r)
 		}
 	}
 	return out
 }
 
-// deliver carries an order out: at once, at once without an answer, later, or never.
-func (w *world) deliver(s Send) services.RankAnswer {
-	if until := w.ranks[s.Rank].frozen; until > w.turn {
-		if w.freeze.IntN(2) == 0 {
-			w.late = append(w.late, lateOrder{s.Rank, s.Order, until + w.freeze.IntN(40), w.ranks[s.Rank].start})
+// deliver executes an order: at once, at once with the answer lost, later, or never.
+func (w *simulation) deliver(s Send) services.RankAnswer {
+	if until := w.ranks[s.Rank].frozen; until > w.round {
+		if w.freezeRand.IntN(2) == 0 {
+			w.late = append(w.late, lateOrder{s.Rank, s.Order, until + w.freezeRand.IntN(40), w.ranks[s.Rank].run})
 		}
 		return services.RankUnknown
 	}
@@ -221,23 +223,23 @@
 		w.apply(s.Rank, s.Order)
 		return services.RankUnknown
 	case n <= 4:
-		w.late = append(w.late, lateOrder{s.Rank, s.Order, w.turn + 1 + w.rand.IntN(120), w.ranks[s.Rank].start})
+		w.late = append(w.late, lateOrder{s.Rank, s.Order, w.round + 1 + w.rand.IntN(120), w.ranks[s.Rank].run})
 		return services.RankUnknown
 	default:
 		return w.apply(s.Rank, s.Order)
 	}
 }
 
-// act lets a coordinator do one thing.
-func (w *world) act(p *player) {
-	if p.dead || p.frozen > w.turn {
+// act runs one action of a coordinator.
+func (w *simulation) act(p *simCoordinator) {
+	if p.dead || p.frozen > w.round {
 		return
 	}
 	if w.rand.IntN(60) == 0 {
-		p.frozen = w.turn + w.rand.IntN(80)
+		p.frozen = w.round + w.rand.IntN(80)
 	}
-	if w.freeze != nil && w.freeze.IntN(60) == 0 {
-		p.frozen = max(p.frozen, w.turn+w.freeze.IntN(200))
+	if w.freezeRand != nil && w.freezeRand.IntN(60) == 0 {
+		p.frozen = max(p.frozen, w.round+w.freezeRand.IntN(200))
 		w.ranks[p.self].frozen = p.frozen
 		return
 	}
@@ -246,29 +248,30 @@
 		w.next(p)
 		return
 	}
-	p.wire = append(p.wire, m.Sends()...)
-	if len(p.wire) > 0 {
-		i := w.rand.IntN(len(p.wire))
-		s := p.wire[i]
-		p.wire = append(p.wire[:i], p.wire[i+1:]...)
+	p.outbox = append(p.outbox, m.Sends()...)
+	if len(p.outbox) > 0 {
+		i := w.rand.IntN(len(p.outbox))
+		s := p.outbox[i]
+		p.outbox = append(p.outbox[:i], p.outbox[i+1:]...)
 		m.Answer(w.now, s, w.deliver(s))
 	}
 	if w.rand.IntN(4) == 0 {
-		if r := w.rand.IntN(len(w.ranks)); w.ranks[r].frozen <= w.turn {
-			m.Observe(w.now, w.now, group.Rank(r), w.ask(p, r))
+		if r := w.rand.IntN(len(w.ranks)); w.ranks[r].frozen <= w.round {
+			m.Observe(w.now, w.now, group.Rank(r), w.statusOf(p, r))
 		}
 	}
-	if w.abandon != nil && w.abandon.IntN(25) == 0 {
+	if w.abandonRand != nil && w.abandonRand.IntN(25) == 0 {
 		m.Abandon()
 		if m.Stage() == StageAbandoned {
-			w.given++
+			w.abandoned++
 		}
 	}
 	m.Tick(w.now)
 }
 
-// next begins what a coordinator does after its last machine: it settles what others left, or changes the map.
-func (w *world) next(p *player) {
+// next starts a coordinator's next machine: it resolves an unfinished change of another
+// coordinator, or starts a change of map.
+func (w *simulation) next(p *simCoordinator) {
 	if m := p.machine; m != nil {
 		p.fence = max(p.fence, m.Fence)
 		if m.Stage() == StageLost {
@@ -279,7 +282,7 @@
 			p.pending = m.Version()
 		}
 	}
-	p.wire = nil
+	p.outbox = nil
 	p.fence++
 	status := w.statuses(p)
 	if p.pending != 0 {
@@ -294,7 +297,7 @@
 		p.machine = nil
 		if len(silent) == 1 {
 			if p.machine = SettleWithout(w.now, p.fence, p.self, silent[0], status); p.machine != nil {
-				w.without++
+				w.resolvedWithout++
 			}
 		}
 		return
@@ -306,37 +309,37 @@
 	p.machine = Start(w.now, p.fence, p.self, status, p.version, nil)
 }
 
-// explore plays one world and returns it. Abandons says that coordinators give changes up, and freezes that VMs freeze
-// with their engines.
-func explore(t *testing.T, seed uint64, turns int, abandons, freezes, trace bool) *world {
-	w := &world{t: t, seed: seed, trace: trace, rand: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(0, 0)}
+// explore runs one simulation and returns it. If abandons is set, coordinators abandon changes; if
+// freezes is set, VMs freeze with their engines.
+func explore(t *testing.T, seed uint64, turns int, abandons, freezes, trace bool) *simulation {
+	w := &simulation{t: t, seed: seed, trace: trace, rand: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(0, 0)}
 	if abandons {
-		w.abandon = rand.New(rand.NewPCG(seed, 4))
+		w.abandonRand = rand.New(rand.NewPCG(seed, 4))
 	}
 	if freezes {
-		w.freeze = rand.New(rand.NewPCG(seed, 5))
+		w.freezeRand = rand.New(rand.NewPCG(seed, 5))
 	}
 	for r := range 2 + w.rand.IntN(4) {
 		w.ranks = append(w.ranks, &engine{RankStatus: services.RankStatus{Epoch: 1, Rank: group.Rank(r), Open: true}})
 	}
 	authority := 0
-	for w.turn = range turns {
+	for w.round = range turns {
 		w.now = w.now.Add(5 * time.Millisecond)
 		if len(w.coords) == 0 || w.rand.IntN(150) == 0 {
 			authority++
 			f := services.Fence(authority) << 32
-			w.coords = append(w.coords, &player{self: group.Rank(w.rand.IntN(len(w.ranks))), fence: f, version: expertmap.Version(f)})
+			w.coords = append(w.coords, &simCoordinator{self: group.Rank(w.rand.IntN(len(w.ranks))), fence: f, version: expertmap.Version(f)})
 		}
 		for _, p := range w.coords {
 			w.act(p)
 		}
 		kept := w.late[:0]
 		for _, l := range w.late {
-			if l.at > w.turn || w.ranks[l.rank].frozen > w.turn {
+			if l.at > w.round || w.ranks[l.rank].frozen > w.round {
 				kept = append(kept, l)
 				continue
 			}
-			if l.start == w.ranks[l.rank].start {
+			if l.run == w.ranks[l.rank].run {
 				w.apply(l.rank, l.order)
 			}
 		}
@@ -344,10 +347,10 @@
 		if w.rand.IntN(400) == 0 {
 			w.reform()
 		}
-		if w.freeze != nil && w.freeze.IntN(80) == 0 {
-			// An agent starts anew and remembers nothing.
-			e := w.ranks[w.freeze.IntN(len(w.ranks))]
-			e.agent, e.heard, e.start = services.RankNotes{}, 0, e.start+1
+		if w.freezeRand != nil && w.freezeRand.IntN(80) == 0 {
+			// An agent restarts and loses its state.
+			e := w.ranks[w.freezeRand.IntN(len(w.ranks))]
+			e.agent, e.highestAuthority, e.run = services.RankNotes{}, 0, e.run+1
 		}
 		if w.rand.IntN(6) == 0 {
 			w.pass()
@@ -356,19 +359,20 @@
 	return w
 }
 
-// reform breaks the group and forms it anew on the first map.
-func (w *world) reform() {
+// reform re-creates the group on the first map, in a new epoch.
+func (w *simulation) reform() {
 	epoch := w.ranks[0].Epoch + 1
 	for r, e := range w.ranks {
-		*e = engine{RankStatus: services.RankStatus{Epoch: epoch, Rank: group.Rank(r), Open: true}, agent: e.agent, heard: e.heard, start: e.start, frozen: e.frozen}
+		*e = engine{RankStatus: services.RankStatus{Epoch: epoch, Rank: group.Rank(r), Open: true}, agent: e.agent, highestAuthority: e.highestAuthority, run: e.run, frozen: e.frozen}
 	}
 }
 
-// exploreSeeds is the number of worlds that each run of the tests plays.
+// exploreSeeds is the number of simulations per mode in each test run.
 const exploreSeeds = 1500
 
-// TestExplore plays groups whose orders are lost, carried out late and given by several coordinators
-// that freeze and wake: no pass may begin with two maps, maps must change, and the group must go on.
+// TestExplore simulates groups whose orders are lost, executed late and sent by several
+// coordinators that freeze and resume. No pass may begin with two maps, maps must change, and
+// passes must continue.
 func TestExplore(t *testing.T) {
 	var passes, changes, abandoned, without int
 	for seed := range uint64(3 * exploreSeeds) {
@@ -379,8 +383,8 @@
 		if w.passes == 0 {
 			t.Errorf("seed %d: the group stood still", seed)
 		}
-		passes, changes, abandoned = passes+w.passes, changes+w.changes/len(w.ranks), abandoned+w.given
-		without += w.without
+		passes, changes, abandoned = passes+w.passes, changes+w.changes/len(w.ranks), abandoned+w.abandoned
+		without += w.resolvedWithout
 	}
 	t.Logf("%d settlements without a frozen rank", without)
 	if without < exploreSeeds/10 {
@@ -395,7 +399,8 @@
 	}
 }
 
-// TestExploreNaive shows what the hold is for: arming all ranks alone lets a pass begin with two maps.
+// TestExploreNaive checks that the hold is needed: if ranks are only armed, a pass can begin with
+// two maps.
 func TestExploreNaive(t *testing.T) {
 	broken := 0
 	for seed := range uint64(200) {
@@ -416,15 +421,15 @@
 	}
 }
 
-// TestExploreFound plays the worlds again in which a fault was found.
+// TestExploreFound repeats simulations that exposed faults.
 func TestExploreFound(t *testing.T) {
 	for name, seed := range map[string]uint64{"a takeover disarmed a version that no rank was armed with": 0, "a takeover looked before it had raised the fence": 17, "a late release of an earlier change ended the hold of the next": 2969} {
 		t.Run(name, func(t *testing.T) { explore(t, seed, 1500, false, false, false) })
 	}
 }
 
-// TestBornAgain checks that a change fails when a rank starts again in the middle of it, although its epoch is still told as the same,
-// and that what the rank told before that changes nothing.
+// TestBornAgain checks that a change fails if a rank restarts during it and still reports the same
+// epoch, and that a status from an earlier run of the rank has no effect.
 func TestBornAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	status := func() []services.RankStatus {
--- a/services/mapswitch/machine.go
+++ b/services/mapswitch/machine.go
@@ -1,18 +1,20 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package mapswitch brings all ranks of a group onto a new expert map in the same pass.
+// Package mapswitch switches all ranks of a group to a new expert map in the same pass.
 //
-// A rank takes an armed map when the pass begins, and ranks do not compare maps. So the coordinator
-// first holds the pass at one rank, which stops the whole group before it, then arms all ranks, and
-// lets go only when every rank has confirmed. If one does not confirm in time, all are disarmed under a
-// higher fence before the group goes on: an order whose answer was lost may be carried out seconds
-// later, and is then refused by its fence, or because the pass has begun.
+// A rank switches to its armed map when the pass begins, and ranks do not compare maps. The
+// coordinator therefore first holds the pass at one rank, which stops the whole group before that
+// pass. It then arms all ranks and releases the hold only when every rank has confirmed. If a rank
+// does not confirm in time, all ranks are disarmed under a higher fence before the group continues.
+// An order whose answer was lost may still be executed seconds later; it is then refused because of
+// its fence, or because the pass has begun.
 //
-// The VM of a coordinator may freeze at any point, with the engine of its own rank, and then nobody can ask that engine
-// whether it is armed. So that a successor can let the group go without it, the hold is at the next rank, and the
-// coordinator's own rank, the owner of the change, begins to load first and is armed last, once all others have
-// confirmed and the agent beside the holder has noted the announcement. Without that note the owner is not armed.
+// The coordinator's VM may freeze at any point, together with the engine of its own rank. No
+// process can then ask that engine whether it is armed. A successor must still be able to release
+// the group, so the hold is at the next rank. The coordinator's own rank, the owner of the change,
+// begins to load first and is armed last: after all others have confirmed and the agent beside the
+// holder has recorded the announcement. If that agent has no such record, the owner is not armed.
 package mapswitch
 
 import (
@@ -23,88 +25,97 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// Stage is how far a change of map has got.
+// Stage is the progress of a change of map.
 type Stage string
 
-// The stages, in their order. A change that fails goes from StageArm to StageDisarm.
+// The stages, in order. A change that fails goes from StageArm to StageDisarm.
 const (
-	// StageSettleHold stops the group before a pass for which an earlier coordinator has armed ranks.
+	// StageSettleHold stops the group before a pass for which an earlier coordinator has armed
+	// ranks.
 	StageSettleHold Stage = "settle-hold"
 	// StageFence raises the fence at all ranks after a takeover.
 	StageFence Stage = "fence"
-	// StagePrepareOwner has the owner begin to load: it refuses older coordinators from then on, and is not armed by one.
+	// StagePrepareOwner has the owner begin to load. From then on it refuses older coordinators, so
+	// none of them can arm it.
 	StagePrepareOwner Stage = "prepare-owner"
 	StagePrepare      Stage = "prepare"
 	StageHold         Stage = "hold"
-	// StageArm arms all ranks but the owner, StageArmOwner the owner, after the agent of the holder was told.
+	// StageArm arms all ranks but the owner. StageArmOwner arms the owner, after StageAnnounce has
+	// notified the agent of the holder.
 	StageArm      Stage = "arm"
 	StageAnnounce Stage = "announce"
 	StageArmOwner Stage = "arm-owner"
 	StageDisarm   Stage = "disarm"
 	StageRelease  Stage = "release"
-	// StageDone says that all ranks take the new map, StageFailed that none does.
+	// StageDone means that all ranks switch to the new map, StageFailed that none does.
 	StageDone   Stage = "done"
 	StageFailed Stage = "failed"
-	// StageAbandoned says that the change was given up while experts were loaded.
+	// StageAbandoned means that the change was abandoned while experts were being loaded.
 	StageAbandoned Stage = "abandoned"
-	// StageLost says that another coordinator has taken over.
+	// StageLost means that another coordinator has taken over.
 	StageLost Stage = "lost"
 )
 
 const (
-	// prepareTime bounds the loading of experts; it takes about a tenth of a second for each.
-	prepareTime = 4 * time.Second
-	// armTime bounds the time in which all ranks must confirm: the group may stand still meanwhile.
-	armTime = 350 * time.Millisecond
-	// lead is the number of passes between the last that has begun and the one that takes the map, and leadRanks the
-	// number of ranks for each of which one more is left: to arm 63 ranks takes a coordinator with a quarter of a core
-	// some 30 ms, in which a group would stand still.
-	lead      = 1
-	leadRanks = 32
-	// unusedVersion is the last of the versions that a coordinator counts up.
+	// prepareTimeout bounds the loading of experts; each takes about a tenth of a second.
+	prepareTimeout = 4 * time.Second
+	// armTimeout bounds the time until all ranks have confirmed; the group may be stopped
+	// meanwhile.
+	armTimeout = 350 * time.Millisecond
+	// baseLeadPasses is the number of passes from the last one begun to the one that uses the new
+	// map. One more pass is added per ranksPerLeadPass ranks: a coordinator with a quarter of a
+	// core needs about 30 ms to arm 63 ranks, and the group would be stopped for that time.
+	baseLeadPasses   = 1
+	ranksPerLeadPass = 32
+	// unusedVersion is the highest value of a version's counter; no coordinator assigns it.
 	unusedVersion = 1<<32 - 1
-	// maxHolds bounds how often a pass to hold is chosen anew because it has begun already.
-	maxHolds = 8
+	// maxHoldRetries bounds the number of retries with a later pass because the pass to hold had
+	// already begun.
+	maxHoldRetries = 8
 )
 
-// none is no rank.
-const none group.Rank = -1
+// noRank stands for no rank.
+const noRank group.Rank = -1
 
 // Machine is one change of map. It does no I/O and reads no clock.
 type Machine struct {
-	// Fence is the authority of the coordinator. It rises when a change is taken back.
+	// Fence is the authority of the coordinator. It is raised when a change is rolled back.
 	Fence services.Fence
 
 	stage Stage
 	since time.Time
 	epoch services.Epoch
-	// self is the coordinator's own rank, holder the one that holds the group, and owner that of the coordinator whose
-	// change it is. Without is a rank that does not answer and whose state follows from that of the others, or none.
-	self, holder, owner, without group.Rank
-
-	status  []services.RankStatus
-	version expertmap.Version
-	layers  []expertmap.Layer
-	step    group.Step
-	holds   int
-	// heldAt is when the group was held; zero before.
+	// self is the coordinator's own rank and holder the rank that holds the group. owner is the
+	// rank of the coordinator that started the change. excluded is a rank that does not answer and
+	// whose state follows from that of the others, or none.
+	self, holder, owner, excluded group.Rank
+
+	status      []services.RankStatus
+	version     expertmap.Version
+	layers      []expertmap.Layer
+	step        group.Step
+	holdRetries int
+	// heldAt is the time at which the group was held, or zero.
 	heldAt time.Time
-	// release holds the pass to be let go at each rank that may hold one.
+	// release holds the pass to release at each rank that may hold one.
 	release map[group.Rank]group.Step
-	// done and sent tell for each rank whether it has confirmed the stage, and whether an order is on its way.
+	// done and sent report for each rank whether it has confirmed the stage and whether an order is
+	// in flight.
 	done, sent []bool
-	// fenced holds the time from which a rank is known to refuse lower fences, in StageDisarm.
-	fenced []time.Time
-	// failed says that the group must be let go without a new map.
+	// fencedAt holds the time from which a rank is known to refuse lower fences, in StageFence and
+	// StageDisarm.
+	fencedAt []time.Time
+	// failed reports whether the group must be released without a new map.
 	failed bool
 }
 
-// holderOf returns the rank that holds a group of some size for the change of an owner.
+// holderOf returns the rank that holds a group of the given size for an owner's change.
 func holderOf(owner group.Rank, size int) group.Rank { return (owner + 1) % group.Rank(size) }
 
-// Start returns the change of a group, as its ranks report it, to a new map. Self is the rank beside the
-// coordinator; it holds the pass. Each machine needs a fence above that of the one before: otherwise a
-// late order of that one could, for example, let go what this one holds.
+// Start begins the change of a group to a new map; status is what its ranks report. self is the
+// rank beside the coordinator; the next rank holds the pass. Each machine needs a higher fence than
+// the one before it. Otherwise a late order of the earlier machine could, for example, release the
+// hold of this one.
 func Start(now time.Time, f services.Fence, self group.Rank, status []services.RankStatus, v expertmap.Version, layers []expertmap.Layer) *Machine {
 	m := newMachine(now, f, self, status)
 	m.version, m.layers = v, layers
@@ -115,18 +126,18 @@
 
 func newMachine(now time.Time, f services.Fence, self group.Rank, status []services.RankStatus) *Machine {
 	return &Machine{
-		Fence: f, since: now, epoch: status[self].Epoch, self: self, holder: self, owner: self, without: none,
+		Fence: f, since: now, epoch: status[self].Epoch, self: self, holder: self, owner: self, excluded: noRank,
 		status: status, release: map[group.Rank]group.Step{},
 	}
 }
 
-// Stage returns how far the change has got.
+// Stage returns the current stage.
 func (m *Machine) Stage() Stage { return m.stage }
 
-// HeldAt returns when the group was held for the change, or zero if it was not.
+// HeldAt returns the time at which the group was held for the change, or zero if it was not.
 func (m *Machine) HeldAt() time.Time { return m.heldAt }
 
-// Ended reports whether nothing more is to be done.
+// Ended reports whether the change has reached a final stage.
 func (m *Machine) Ended() bool {
 	return m.stage == StageDone || m.stage == StageFailed || m.stage == StageAbandoned || m.stage == StageLost
 }
@@ -141,11 +152,11 @@
 	return m.stage == StageHold || m.arming() || m.stage == StageRelease
 }
 
-// Loading reports whether ranks still load experts for the change.
+// Loading reports whether ranks are still loading experts for the change.
 func (m *Machine) Loading() bool { return m.stage == StagePrepareOwner || m.stage == StagePrepare }
 
-// Abandon gives the change up if experts are still being loaded. Nothing is armed or held for it yet, and a prepare
-// that is still on its way is refused once a later version was prepared.
+// Abandon ends the change if experts are still being loaded. Nothing is armed or held for it yet,
+// and a prepare order still in flight is refused once a later version has been prepared.
 func (m *Machine) Abandon() {
 	if m.Loading() {
 		m.stage = StageAbandoned
@@ -158,18 +169,20 @@
 func (m *Machine) enter(now time.Time, s Stage) {
 	m.stage, m.since = s, now
 	m.done, m.sent = make([]bool, len(m.status)), make([]bool, len(m.status))
-	m.fenced = make([]time.Time, len(m.status))
+	m.fencedAt = make([]time.Time, len(m.status))
 	if s == StageHold {
-		m.step = max(m.lastStep()+m.lead(), m.step+1)
+		m.step = max(m.lastStep()+m.leadPasses(), m.step+1)
 	}
 	for r := range m.done {
-		m.done[r] = !m.concerns(group.Rank(r))
+		m.done[r] = !m.addresses(group.Rank(r))
 	}
 	m.advance(now)
 }
 
-// lead returns how many passes after the last that has begun the map is taken.
-func (m *Machine) lead() group.Step { return group.Step(lead + len(m.status)/leadRanks) }
+// leadPasses returns the number of passes from the last one begun to the one that uses the new map.
+func (m *Machine) leadPasses() group.Step {
+	return group.Step(baseLeadPasses + len(m.status)/ranksPerLeadPass)
+}
 
 // lastStep returns the last pass that any rank is known to have begun.
 func (m *Machine) lastStep() group.Step {
@@ -180,9 +193,9 @@
 	return last
 }
 
-// Answer takes in what became of an order that Sends returned.
+// Answer processes the result of an order that Sends returned.
 func (m *Machine) Answer(now time.Time, s Send, a services.RankAnswer) {
-	if m.Ended() || !m.concerns(s.Rank) || s.Begin != (m.stage == StagePrepareOwner) || s.Order.Kind != m.order(s.Rank).Kind || s.Order.Fence != m.Fence || (m.stage != StageRelease && s.Order.Step != m.step) {
+	if m.Ended() || !m.addresses(s.Rank) || s.Begin != (m.stage == StagePrepareOwner) || s.Order.Kind != m.order(s.Rank).Kind || s.Order.Fence != m.Fence || (m.stage != StageRelease && s.Order.Step != m.step) {
 		return
 	}
 	m.sent[s.Rank] = false
@@ -199,8 +212,9 @@
 	m.advance(now)
 }
 
-// confirm notes that an order holds at a rank. A rank counts as fenced or disarmed only once its status was
-// asked for after it had taken the fence: an earlier coordinator may have armed it until then.
+// confirm records that a rank has executed an order. A rank counts as fenced or disarmed only by a
+// status requested after it accepted the fence: until then an earlier coordinator may have armed
+// it.
 func (m *Machine) confirm(now time.Time, r group.Rank) {
 	switch m.stage {
 	case StageFence, StageDisarm:
@@ -208,7 +222,7 @@
 		m.done[r] = true
 		return
 	}
-	m.fenced[r], m.sent[r] = now, true
+	m.fencedAt[r], m.sent[r] = now, true
 }
 
 func (m *Machine) conflict(now time.Time, r group.Rank) {
@@ -216,41 +230,41 @@
 	case StagePrepareOwner, StagePrepare:
 		m.stage = StageFailed
 	case StageHold:
-		if m.holds++; m.holds > maxHolds {
+		if m.holdRetries++; m.holdRetries > maxHoldRetries {
 			m.stage = StageFailed
 			return
 		}
 		m.enter(now, StageHold)
 	case StageSettleHold:
-		// The pass has begun, so nothing is armed for it any more.
+		// The pass has begun, so no rank is still armed for it.
 		m.enter(now, StageFence)
 	case StageArm, StageAnnounce, StageArmOwner:
-		m.takeBack(now)
+		m.rollBack(now)
 	case StageFence, StageDisarm, StageRelease:
 		m.confirm(now, r)
 	case StageDone, StageFailed, StageAbandoned, StageLost:
 	}
 }
 
-// takeBack disarms all ranks under a higher fence.
-func (m *Machine) takeBack(now time.Time) {
+// rollBack starts to disarm all ranks under a higher fence.
+func (m *Machine) rollBack(now time.Time) {
 	m.failed = true
 	m.Fence++
 	m.enter(now, StageDisarm)
 }
 
-// Observe takes in what a rank reports, and when it was asked.
+// Observe processes the status of a rank, which was requested at the time asked.
 func (m *Machine) Observe(now, asked time.Time, r group.Rank, s services.RankStatus) {
 	if m.Ended() {
 		return
 	}
 	born := m.status[r].Born
 	if s.Born < born {
-		return // told before the rank started again
+		return // reported before the rank restarted
 	}
 	if s.Epoch != m.epoch || born != 0 && s.Born != born {
-		// The group has formed anew, or is about to because the rank has started again: what was prepared, armed or held
-		// there is gone.
+		// The group has formed again, or is about to because the rank has restarted: everything
+		// that was prepared, armed or held there is lost.
 		m.stage = StageFailed
 		return
 	}
@@ -258,28 +272,28 @@
 	switch {
 	case m.stage == StagePrepare && s.Prepared == m.version:
 		m.done[r] = true
-	case m.stage == StageFence && !m.fenced[r].IsZero() && asked.After(m.fenced[r]):
+	case m.stage == StageFence && !m.fencedAt[r].IsZero() && asked.After(m.fencedAt[r]):
 		m.done[r] = true
-	case m.stage == StageDisarm && !m.fenced[r].IsZero() && asked.After(m.fenced[r]):
+	case m.stage == StageDisarm && !m.fencedAt[r].IsZero() && asked.After(m.fencedAt[r]):
 		m.done[r] = s.Armed == 0
 		m.sent[r] = m.done[r]
 	}
 	m.advance(now)
 }
 
-// Tick notes that time has passed.
+// Tick applies the time-outs.
 func (m *Machine) Tick(now time.Time) {
 	switch {
-	case m.Loading() && now.Sub(m.since) > prepareTime:
+	case m.Loading() && now.Sub(m.since) > prepareTimeout:
 		m.stage = StageFailed
-	case m.arming() && now.Sub(m.since) > armTime:
-		m.takeBack(now)
+	case m.arming() && now.Sub(m.since) > armTimeout:
+		m.rollBack(now)
 	}
 }
 
 // advance enters the next stage when all ranks have confirmed.
 func (m *Machine) advance(now time.Time) {
-	if m.Ended() || !m.complete() {
+	if m.Ended() || !m.allConfirmed() {
 		return
 	}
 	switch m.stage {
@@ -310,7 +324,7 @@
 	}
 }
 
-func (m *Machine) complete() bool {
+func (m *Machine) allConfirmed() bool {
 	for _, d := range m.done {
 		if !d {
 			return false
--- a/services/mapswitch/send.go
+++ b/services/mapswitch/send.go
@@ -8,18 +8,18 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// Send is an order to one rank. Direct says that it goes to the rank's engine and not to its agent: a hold that an
-// agent gave would last for as long as that agent's VM may be frozen. Begin says that a prepare counts as done once
-// the rank has begun to load.
+// Send is an order to one rank. Direct reports whether it goes to the rank's engine instead of its
+// agent: a hold placed by an agent would last for as long as that agent's VM is frozen. Begin
+// reports whether a prepare is complete once the rank has begun to load.
 type Send struct {
 	Rank          group.Rank
 	Order         services.RankOrder
 	Direct, Begin bool
 }
 
-// concerns reports whether a rank gets an order in the stage.
-func (m *Machine) concerns(r group.Rank) bool {
-	if r == m.without {
+// addresses reports whether a rank receives an order in the current stage.
+func (m *Machine) addresses(r group.Rank) bool {
+	if r == m.excluded {
 		return false
 	}
 	switch m.stage {
@@ -43,7 +43,8 @@
 	return false
 }
 
-// Sends returns the orders that are to be sent now. Each is answered by Answer before it is sent again.
+// Sends returns the orders to send now. An order is not returned again before its result is passed
+// to Answer.
 func (m *Machine) Sends() []Send {
 	if m.Ended() {
 		return nil
--- a/services/mapswitch/settle.go
+++ b/services/mapswitch/settle.go
@@ -11,46 +11,49 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// ownerBits is the part of a version that names the rank of the coordinator that gave it out.
+// ownerBits is the number of low bits of a version that hold the rank of the coordinator that
+// assigned it.
 const ownerBits = 10
 
-// NextVersion returns the version of the next map that a coordinator gives out, whose own rank is given.
+// NextVersion returns the version after last that the coordinator beside rank own assigns.
 func NextVersion(last expertmap.Version, own group.Rank) expertmap.Version {
 	return (last>>ownerBits+1)<<ownerBits | expertmap.Version(own) //nolint:gosec // ranks are not negative
 }
 
-// owner returns the rank of the coordinator that gave a version out.
-func owner(v expertmap.Version) group.Rank { return group.Rank(v & (1<<ownerBits - 1)) }
+// versionOwner returns the rank of the coordinator that assigned a version.
+func versionOwner(v expertmap.Version) group.Rank { return group.Rank(v & (1<<ownerBits - 1)) }
 
-// Settle returns the machine that takes back what an earlier coordinator has left behind, or nil if
-// there is nothing. It raises the fence at all ranks first: what they report after that stays so.
+// Settle returns a machine that resolves the unfinished change of an earlier coordinator, or nil if
+// there is none. It first raises the fence at all ranks, so that the states they report afterwards
+// cannot be changed by an earlier coordinator.
 func Settle(now time.Time, f services.Fence, self group.Rank, status []services.RankStatus) *Machine {
-	if !left(status) {
+	if !unfinished(status) {
 		return nil
 	}
-	return settle(now, f, self, none, status)
+	return newResolution(now, f, self, noRank, status)
 }
 
-// SettleWithout is Settle for a group in which one rank does not answer. It returns nil also if the state of that rank
-// does not follow from what the others report; their answers after the fence are judged once more.
+// SettleWithout is Settle for a group in which one rank does not answer. It also returns nil if the
+// state of that rank does not follow from what the others report. Their reports are checked again
+// after the fence.
 func SettleWithout(now time.Time, f services.Fence, self, silent group.Rank, status []services.RankStatus) *Machine {
-	if !left(status) || !ownedBy(silent, status) {
+	if !unfinished(status) || !isUnarmedOwner(silent, status) {
 		return nil
 	}
-	return settle(now, f, self, silent, status)
+	return newResolution(now, f, self, silent, status)
 }
 
-func settle(now time.Time, f services.Fence, self, without group.Rank, status []services.RankStatus) *Machine {
+func newResolution(now time.Time, f services.Fence, self, excluded group.Rank, status []services.RankStatus) *Machine {
 	m := newMachine(now, f, self, status)
-	m.failed, m.without = true, without
-	// No rank ever has this version: a disarm of it raises the fence and changes nothing else.
+	m.failed, m.excluded = true, excluded
+	// No rank ever has this version, so disarming it only raises the fence.
 	m.version = expertmap.Version(f) | unusedVersion
 	m.enter(now, StageFence)
 	return m
 }
 
-// left reports whether a rank is armed or holds the group.
-func left(status []services.RankStatus) bool {
+// unfinished reports whether any rank is armed or holds the group.
+func unfinished(status []services.RankStatus) bool {
 	for _, s := range status {
 		if s.Armed != 0 || s.Holds {
 			return true
@@ -59,11 +62,13 @@
 	return false
 }
 
-// ownedBy reports whether all ranks but one have taken part in the same change, and that one is its owner and is not
-// armed. They have loaded the map of the change: so its owner had begun to, and was not armed by an older coordinator
-// then and not since. The agent of the holder remembers the change and has not noted that the owner is to be armed; it
-// has heard of the present coordinator, so it will not note it any more.
-func ownedBy(silent group.Rank, status []services.RankStatus) bool {
+// isUnarmedOwner reports whether all ranks but the silent one took part in the same change, and the
+// silent rank is its owner and is not armed. The others have loaded the map of the change, so the
+// owner had begun to load before them: no older coordinator had armed it then or can have armed it
+// since. The agent of the holder remembers the change and has no record that the owner is about to
+// be armed. It has received the authority of the current coordinator, so it accepts no such record
+// any more.
+func isUnarmedOwner(silent group.Rank, status []services.RankStatus) bool {
 	var version expertmap.Version
 	for r, s := range status {
 		if group.Rank(r) == silent {
@@ -80,29 +85,29 @@
 			return false
 		}
 	}
-	if version == 0 || owner(version) != silent {
+	if version == 0 || versionOwner(version) != silent {
 		return false
 	}
 	noted := status[holderOf(silent, len(status))].Noted
 	return noted.Prepared == version && noted.Announced < version
 }
 
-// decide chooses how to go on once no earlier coordinator can change anything.
+// decide chooses the next stage once no earlier coordinator can change anything.
 func (m *Machine) decide(now time.Time) {
-	if m.without != none {
-		if !ownedBy(m.without, m.status) {
+	if m.excluded != noRank {
+		if !isUnarmedOwner(m.excluded, m.status) {
 			m.stage = StageFailed
 			return
 		}
 	}
-	armed, same := m.takeOver()
+	armed, alike := m.recordState()
 	held := false
 	for _, step := range m.release {
 		held = held || step <= m.step
 	}
 	switch {
-	case !armed || same && m.without == none:
-		// Nothing is armed, or all ranks take the same map in the same pass.
+	case !armed || alike && m.excluded == noRank:
+		// No rank is armed, or all ranks switch to the same map in the same pass.
 		m.enter(now, StageRelease)
 	case held:
 		m.enter(now, StageDisarm)
@@ -111,19 +116,19 @@
 	}
 }
 
-// takeOver notes which ranks hold the group and for which pass ranks are armed. It reports whether a rank is armed,
-// and whether all are alike.
-func (m *Machine) takeOver() (armed, same bool) {
-	m.step, same = 0, true
+// recordState records which ranks hold the group and the pass for which ranks are armed. It reports
+// whether any rank is armed and whether all are armed alike.
+func (m *Machine) recordState() (armed, alike bool) {
+	m.step, alike = 0, true
 	first := m.status[0]
-	if m.without == 0 {
+	if m.excluded == 0 {
 		first = m.status[m.self]
 	}
 	for r, s := range m.status {
-		if group.Rank(r) == m.without {
+		if group.Rank(r) == m.excluded {
 			continue
 		}
-		same = same && s.Armed == first.Armed && s.ArmedAt == first.ArmedAt
+		alike = alike && s.Armed == first.Armed && s.ArmedAt == first.ArmedAt
 		if s.Armed != 0 {
 			armed, m.step = true, max(m.step, s.ArmedAt)
 		}
@@ -131,5 +136,5 @@
 			m.release[group.Rank(r)] = s.Held
 		}
 	}
-	return armed, same
+	return armed, alike
 }
