--- a/services/placement/decide.go
+++ b/services/placement/decide.go
@@ -9,35 +9,34 @@
 	"fawnwinch.org/fawnwinch/models/expertmap"
 )
 
-// Policy prices moves.
+// Policy holds the cost of moves and their limits.
 type Policy struct {
-	// Price is the part of a layer's time that one loaded expert must save to pay for itself.
+	// Price is the minimum reduction of a layer's skew per loaded expert.
 	Price float64
 	// MaxMoves bounds the experts loaded by one decision.
 	MaxMoves int
-	// MaxFresh bounds the experts that one rank loads in one layer; 0 means any number.
+	// MaxFresh bounds the experts that one rank loads in one layer; 0 means no limit.
 	MaxFresh int
-	// MaxRank bounds the experts that one rank loads in all layers together; 0 means any number. The rank
-	// with the most to load decides how long a change takes.
+	// MaxRank bounds the experts that one rank loads in all layers together; 0 means no limit. The
+	// rank that loads most determines the duration of a change.
 	MaxRank int
-	// Enough is the skew up to which a layer is left alone.
+	// Enough is the skew up to which a layer is left unchanged.
 	Enough float64
-	// Slack is how far a layer's skew must rise above what the last look left it at, before it is
-	// looked at again.
+	// Slack is how far a layer's skew must rise above its floor before the layer is examined again.
 	Slack float64
 }
 
-// SkewPolicy is for deployments that weigh skew more.
+// SkewPolicy returns the policy for deployments that prefer low skew.
 func SkewPolicy(maxMoves int) Policy {
 	return Policy{Price: 0.0015, MaxMoves: maxMoves, Enough: 1.02, Slack: 0.01}
 }
 
-// CostPolicy is for deployments that weigh the cost of moves more.
+// CostPolicy returns the policy for deployments that prefer few moves.
 func CostPolicy(maxMoves int) Policy {
 	return Policy{Price: 0.02, MaxMoves: maxMoves, Enough: 1.1, Slack: 0.03}
 }
 
-// Result is a decision.
+// Result is the result of a decision.
 type Result struct {
 	// Map is the new map, or nil if nothing should change. Its version is that of the old one.
 	Map *expertmap.Map
@@ -45,19 +44,19 @@
 	Moves int
 	// Before and After are the skews under the given popularity.
 	Before, After float64
-	// Floors holds the skew each layer was left at by the last look at it. The next decision takes it.
+	// Floors holds the skew of each layer after it was last examined. Pass it to the next decision.
 	Floors []float64
 }
 
-// patience is the number of moves in a row that may gain nothing on balance: when several ranks are
-// about as heavy, all must be relieved before the step gets shorter.
-const patience = 8
+// maxSequenceCost bounds the cost of a sequence of moves that pays only as a whole: if several
+// ranks have about the same load, all of them must be relieved before the step gets shorter.
+const maxSequenceCost = 8
 
-// Decide improves a map for a popularity. It changes nothing that it is given. Floors are those of the
-// last decision, or nil. The layers share the bounds: the moves that save most for each expert loaded are made
-// first, in whichever layer they are, as long as they pay.
+// Decide improves a map for a popularity. It does not modify its arguments. floors are those of the
+// last decision, or nil. The layers share the limits: moves that pay are applied in order of the
+// skew saved per loaded expert, across all layers.
 func Decide(m *expertmap.Map, p Popularity, speed []float64, pol Policy, floors []float64) (Result, error) {
-	layers, err := load(m, p, speed)
+	layers, err := newLayers(m, p, speed)
 	if err != nil {
 		return Result{}, err
 	}
@@ -70,20 +69,20 @@
 	res.After = meanSkew(d.layers)
 	res.Floors = newFloors(d.layers, pol, floors)
 	if res.Moves > 0 {
-		res.Map = build(m, d.layers)
+		res.Map = buildMap(m, d.layers)
 	}
 	return res, nil
 }
 
-// decision is a decision that is being made.
+// decision is the state of a Decide call.
 type decision struct {
 	pol    Policy
 	layers []*layer
-	// loads counts the experts that each rank loads in all layers, by the changes made so far.
+	// loads counts the experts that each rank loads in all layers for the changes applied so far.
 	loads []int
 }
 
-// improve makes changes as long as one pays and fits, and returns the number of experts to load.
+// improve applies changes while one pays and fits, and returns the number of experts to load.
 func (d *decision) improve(floors []float64) int {
 	next := make([]change, len(d.layers))
 	for i, l := range d.layers {
@@ -95,68 +94,69 @@
 	for {
 		best := -1
 		for i, c := range next {
-			if c.layer != nil && (best < 0 || c.worth() > next[best].worth()) {
+			if c.layer != nil && (best < 0 || c.savingPerLoad() > next[best].savingPerLoad()) {
 				best = i
 			}
 		}
 		if best < 0 {
 			return moves
 		}
-		// Changes of other layers may have used up what this one was to load.
+		// Changes of other layers may have used up the remaining loads.
 		if c := next[best]; moves+c.moves <= d.pol.MaxMoves && c.fits(d.loads, d.pol.MaxRank) {
-			d.make(best, c)
+			d.applyChange(best, c)
 			moves += c.moves
 		}
 		next[best] = d.layers[best].improve(d.pol, d.pol.MaxMoves-moves)
 	}
 }
 
-// make makes a change of a layer.
-func (d *decision) make(i int, c change) {
-	for r, n := range c.layer.fresh {
-		d.loads[r] += n - c.layer.made[r]
+// applyChange applies a change to layer i.
+func (d *decision) applyChange(i int, c change) {
+	for r, n := range c.layer.gained {
+		d.loads[r] += n - c.layer.applied[r]
 	}
-	c.layer.made = slices.Clone(c.layer.fresh)
+	c.layer.applied = slices.Clone(c.layer.gained)
 	d.layers[i] = c.layer
 }
 
-// change is a row of moves in one layer that pays as a whole.
+// change is a sequence of moves in one layer that pays as a whole.
 type change struct {
 	layer *layer
 	moves int
-	// saved is the fall of the layer's skew.
+	// saved is the reduction of the layer's skew.
 	saved float64
 }
 
-// worth is what the change saves for each expert loaded.
-func (c change) worth() float64 { return c.saved / float64(c.moves) }
+// savingPerLoad returns the skew saved per loaded expert.
+func (c change) savingPerLoad() float64 { return c.saved / float64(c.moves) }
 
-// fits reports whether no rank loads too much if the change is made beside those made before.
-func (c change) fits(loads []int, most int) bool {
-	if most == 0 {
+// fits reports whether each rank stays within its limit if the change is applied after the earlier
+// ones.
+func (c change) fits(loads []int, limit int) bool {
+	if limit == 0 {
 		return true
 	}
-	for r, n := range c.layer.fresh {
-		if n > c.layer.made[r] && loads[r]+n-c.layer.made[r] > most {
+	for r, n := range c.layer.gained {
+		if n > c.layer.applied[r] && loads[r]+n-c.layer.applied[r] > limit {
 			return false
 		}
 	}
 	return true
 }
 
-// improve returns the shortest row of moves that relieves the heaviest rank and pays; its layer is nil if there is none
-// with so many moves at most.
-func (l *layer) improve(pol Policy, most int) change {
+// improve returns the shortest sequence of moves that relieves the most loaded rank and pays. Its
+// layer is nil if there is none within the limit.
+func (l *layer) improve(pol Policy, maxMoves int) change {
 	before := l.skew()
 	if before <= pol.Enough {
 		return change{}
 	}
 	work := l.clone()
-	for moves := 0; moves < most; {
+	for moves := 0; moves < maxMoves; {
 		mv, ok := work.best()
 		moves += mv.cost()
-		// Nothing below the target is worth anything, so this bounds what is still to be gained.
-		if !ok || moves > min(patience, most) || before-pol.Enough <= pol.Price*float64(moves) {
+		// A skew below the target has no value, so before-Enough bounds the possible saving.
+		if !ok || moves > min(maxSequenceCost, maxMoves) || before-pol.Enough <= pol.Price*float64(moves) {
 			break
 		}
 		work.apply(mv)
@@ -167,7 +167,8 @@
 	return change{}
 }
 
-// newFloors keeps the floor of a layer that was not looked at, unless it got better by itself.
+// newFloors keeps the floor of a layer that was not examined, unless its skew has fallen without a
+// change.
 func newFloors(layers []*layer, pol Policy, floors []float64) []float64 {
 	out := make([]float64, len(layers))
 	for i, l := range layers {
@@ -179,7 +180,7 @@
 	return out
 }
 
-func load(m *expertmap.Map, p Popularity, speed []float64) ([]*layer, error) {
+func newLayers(m *expertmap.Map, p Popularity, speed []float64) ([]*layer, error) {
 	if len(m.Layers) != len(p) {
 		return nil, ErrShape{What: "popularity and map differ in layers"}
 	}
@@ -202,7 +203,7 @@
 	return sum / float64(len(layers))
 }
 
-func build(old *expertmap.Map, layers []*layer) *expertmap.Map {
+func buildMap(old *expertmap.Map, layers []*layer) *expertmap.Map {
 	out := &expertmap.Map{Group: old.Group, Version: old.Version, Layers: make([]expertmap.Layer, len(layers))}
 	for i, l := range layers {
 		out.Layers[i].Slots = make([][]expertmap.Expert, len(l.slots))
@@ -213,7 +214,7 @@
 	return out
 }
 
-// fill leaves in unused slots what the old map had there.
+// fill keeps the old map's experts in unused slots.
 func fill(held, old []expertmap.Expert) []expertmap.Expert {
 	out := slices.Clone(held)
 	for i, e := range out {
--- a/services/placement/full.go
+++ b/services/placement/full.go
@@ -10,9 +10,10 @@
 	"fawnwinch.org/fawnwinch/models/expertmap"
 )
 
-// Full computes a map from nothing but the popularity: replicas go to the experts with the most load
-// each, then the heaviest replicas are dealt first, each to the least loaded rank with room, and the
-// rest is evened out move by move. It is the baseline that pays no regard to what must be loaded.
+// Full computes a map from the popularity alone. It gives replicas to the experts with the most
+// load per replica and assigns the replicas, largest load first, each to the least loaded rank with
+// a free slot. It then reduces the remaining skew move by move. It is the baseline that ignores the
+// cost of loading.
 func Full(m *expertmap.Map, p Popularity, speed []float64) *expertmap.Map {
 	out := &expertmap.Map{Group: m.Group, Version: m.Version, Layers: make([]expertmap.Layer, len(p))}
 	for i := range p {
@@ -20,29 +21,30 @@
 		for r, held := range m.Layers[i].Slots {
 			room[r] = len(held)
 		}
-		out.Layers[i].Slots = deal(p[i], speed, room)
+		out.Layers[i].Slots = assignReplicas(p[i], speed, room)
 	}
-	evened, err := Decide(out, p, speed, Policy{MaxMoves: math.MaxInt, Enough: 1, Price: fullPrice}, nil)
+	evened, err := Decide(out, p, speed, Policy{MaxMoves: math.MaxInt, Enough: 1, Price: fullMinSaving}, nil)
 	if err == nil && evened.Map != nil {
 		out = evened.Map
 	}
 	for i := range out.Layers {
-		out.Layers[i].Slots = rename(m.Layers[i].Slots, out.Layers[i].Slots, speed)
+		out.Layers[i].Slots = assignToRanks(m.Layers[i].Slots, out.Layers[i].Slots, speed)
 	}
 	return out
 }
 
-// rename gives each new list of experts to the rank of the same speed that holds most of it already.
-func rename(old, fresh [][]expertmap.Expert, speed []float64) [][]expertmap.Expert {
+// assignToRanks assigns each new list of experts to the rank of the same speed that already holds
+// most of them.
+func assignToRanks(old, fresh [][]expertmap.Expert, speed []float64) [][]expertmap.Expert {
 	out := make([][]expertmap.Expert, len(fresh))
 	for n := range fresh {
-		best, most := -1, -1
+		best, maxOverlap := -1, -1
 		for r := range old {
 			if out[r] != nil || speed[r] != speed[n] || len(old[r]) != len(fresh[n]) {
 				continue
 			}
-			if same := overlap(old[r], fresh[n]); same > most {
-				best, most = r, same
+			if same := overlap(old[r], fresh[n]); same > maxOverlap {
+				best, maxOverlap = r, same
 			}
 		}
 		out[best] = fresh[n]
@@ -60,10 +62,10 @@
 	return n
 }
 
-// fullPrice ends the evening out when a move saves less than a ten thousandth of a layer's time.
-const fullPrice = 1e-4
+// fullMinSaving ends the balancing when a move saves less than a ten-thousandth of a layer's skew.
+const fullMinSaving = 1e-4
 
-func deal(popularity, speed []float64, room []int) [][]expertmap.Expert {
+func assignReplicas(popularity, speed []float64, room []int) [][]expertmap.Expert {
 	slots := 0
 	for _, n := range room {
 		slots += n
@@ -75,12 +77,12 @@
 			order = append(order, expertmap.Expert(e))
 		}
 	}
-	part := func(e expertmap.Expert) float64 { return popularity[e] / float64(replicas[e]) }
+	replicaLoad := func(e expertmap.Expert) float64 { return popularity[e] / float64(replicas[e]) }
 	slices.SortStableFunc(order, func(a, b expertmap.Expert) int {
-		if part(a) > part(b) {
+		if replicaLoad(a) > replicaLoad(b) {
 			return -1
 		}
-		if part(a) < part(b) {
+		if replicaLoad(a) < replicaLoad(b) {
 			return 1
 		}
 		return int(a - b)
@@ -88,22 +90,23 @@
 	held := make([][]expertmap.Expert, len(room))
 	load := make([]float64, len(room))
 	for _, e := range order {
-		r := lightest(e, held, load, room)
+		r := leastLoaded(e, held, load, room)
 		held[r] = append(held[r], e)
-		load[r] += part(e) / speed[r]
+		load[r] += replicaLoad(e) / speed[r]
 	}
 	return held
 }
 
-// lightest returns the least loaded rank with room that does not hold e yet, or with room at all.
-func lightest(e expertmap.Expert, held [][]expertmap.Expert, load []float64, room []int) int {
-	best, any := -1, -1
+// leastLoaded returns the least loaded rank with a free slot that does not hold e; if there is
+// none, the least loaded rank with a free slot.
+func leastLoaded(e expertmap.Expert, held [][]expertmap.Expert, load []float64, room []int) int {
+	best, fallback := -1, -1
 	for r := range held {
 		if len(held[r]) >= room[r] {
 			continue
 		}
-		if any < 0 || load[r] < load[any] {
-			any = r
+		if fallback < 0 || load[r] < load[fallback] {
+			fallback = r
 		}
 		if !slices.Contains(held[r], e) && (best < 0 || load[r] < load[best]) {
 			best = r
@@ -112,10 +115,11 @@
 	if best >= 0 {
 		return best
 	}
-	return any
+	return fallback
 }
 
-// replicate gives every expert one replica and the rest to those with the most load for each replica.
+// replicate returns the number of replicas of each expert: one for each, and the remaining slots
+// for those with the most load per replica.
 func replicate(popularity []float64, slots, ranks int) []int {
 	n := make([]int, len(popularity))
 	for e := range n {
--- a/services/placement/layer.go
+++ b/services/placement/layer.go
@@ -11,10 +11,10 @@
 	"fawnwinch.org/fawnwinch/models/expertmap"
 )
 
-// wordBits is the size of a word of a set of ranks.
+// wordBits is the number of ranks in one word of a set.
 const wordBits = 64
 
-// rankSets holds a set of ranks for each expert, in one row of words, so that it is copied at once.
+// rankSets holds a set of ranks for each expert, in one slice of words so that a copy is one clone.
 type rankSets struct {
 	words int
 	bits  []uint64
@@ -42,37 +42,39 @@
 	return rankSets{words: s.words, bits: slices.Clone(s.bits)}
 }
 
-// empty marks a slot that holds nothing of use: a second replica on the same rank serves nobody.
+// empty marks an unused slot. A second replica on the same rank has no use, so its slot counts as
+// unused.
 const empty = expertmap.Free
 
-// layer is one layer while it is being changed.
+// layer is the working state of one layer.
 type layer struct {
 	popularity []float64
 	speed      []float64
 	// slots[rank] lists the experts held.
 	slots [][]expertmap.Expert
-	// holders and replicas tell for each expert which ranks hold it, and how many.
+	// holders is the set of ranks that hold each expert, and replicas their number.
 	holders  rankSets
 	replicas []int
-	// parts holds the load of one replica of each expert; more, what each holder gets on top when
-	// one replica is dropped. Both follow from replicas and are kept because the search asks often.
-	parts, more []float64
-	// inverse holds 1/speed.
-	inverse []float64
-	load    []float64
-	mean    float64
-	// origin tells which ranks held each expert at first; fresh counts the experts that each rank has
-	// got since. A rank gets at most maxFresh of them; 0 means any number.
-	origin   rankSets
-	fresh    []int
+	// replicaLoads holds the load of one replica of each expert, and extraLoads the load that each
+	// remaining holder gains when one replica is dropped. Both are derived from replicas and cached
+	// because the search reads them often.
+	replicaLoads, extraLoads []float64
+	// inverseSpeed holds 1/speed.
+	inverseSpeed []float64
+	load         []float64
+	mean         float64
+	// initial is the set of ranks that held each expert at the start; gained counts the experts
+	// that each rank has gained since. maxFresh bounds gained; 0 means no limit.
+	initial  rankSets
+	gained   []int
 	maxFresh int
-	// loads counts the experts that each rank gets in all layers, by changes that have been made, and made those
-	// of them that are of this layer. A rank gets at most maxRank; 0 means any number.
-	loads, made []int
-	maxRank     int
+	// loads counts the experts that each rank gains in all layers by changes already applied, and
+	// applied the part of them in this layer. A rank gains at most maxRank; 0 means no limit.
+	loads, applied []int
+	maxRank        int
 }
 
-// ErrShape reports an input whose sizes do not fit together.
+// ErrShape reports an input with mismatched sizes.
 type ErrShape struct{ What string }
 
 func (e ErrShape) Error() string { return "placement: " + e.What }
@@ -84,21 +86,21 @@
 	l := &layer{
 		popularity: popularity, speed: speed, slots: make([][]expertmap.Expert, len(slots)),
 		holders: newRankSets(len(popularity), len(slots)), replicas: make([]int, len(popularity)), load: make([]float64, len(slots)),
-		parts: make([]float64, len(popularity)), more: make([]float64, len(popularity)), inverse: make([]float64, len(slots)),
+		replicaLoads: make([]float64, len(popularity)), extraLoads: make([]float64, len(popularity)), inverseSpeed: make([]float64, len(slots)),
 	}
 	for r, s := range speed {
-		l.inverse[r] = 1 / s
+		l.inverseSpeed[r] = 1 / s
 	}
 	for r, held := range slots {
-		if err := l.hold(r, held); err != nil {
+		if err := l.addRank(r, held); err != nil {
 			return nil, err
 		}
 	}
 	for e := range popularity {
-		l.count(expertmap.Expert(e), 0)
+		l.changeReplicas(expertmap.Expert(e), 0)
 	}
-	l.origin, l.fresh, l.made = l.holders.clone(), make([]int, len(slots)), make([]int, len(slots))
-	l.reload()
+	l.initial, l.gained, l.applied = l.holders.clone(), make([]int, len(slots)), make([]int, len(slots))
+	l.recomputeLoads()
 	var total, speeds float64
 	for r := range slots {
 		total += l.load[r] * speed[r]
@@ -108,8 +110,8 @@
 	return l, nil
 }
 
-// hold takes in the slots of one rank.
-func (l *layer) hold(r int, held []expertmap.Expert) error {
+// addRank adds the slots of one rank.
+func (l *layer) addRank(r int, held []expertmap.Expert) error {
 	l.slots[r] = held
 	for i, e := range held {
 		if e == empty {
@@ -128,74 +130,76 @@
 	return nil
 }
 
-// clone returns a copy that can be changed without changing l. Slot lists are shared until replaced.
+// clone returns a copy that can be changed without changing l. Slot lists are shared until
+// replaced.
 func (l *layer) clone() *layer {
 	c := *l
 	c.slots = slices.Clone(l.slots)
 	c.holders = l.holders.clone()
 	c.replicas = slices.Clone(l.replicas)
 	c.load = slices.Clone(l.load)
-	c.fresh = slices.Clone(l.fresh)
-	c.parts, c.more = slices.Clone(l.parts), slices.Clone(l.more)
+	c.gained = slices.Clone(l.gained)
+	c.replicaLoads, c.extraLoads = slices.Clone(l.replicaLoads), slices.Clone(l.extraLoads)
 	return &c
 }
 
-// count changes the number of replicas of an expert.
-func (l *layer) count(e expertmap.Expert, by int) {
+// changeReplicas changes the number of replicas of an expert.
+func (l *layer) changeReplicas(e expertmap.Expert, by int) {
 	l.replicas[e] += by
 	n := float64(l.replicas[e])
-	l.parts[e] = l.popularity[e] / n
-	l.more[e] = l.popularity[e]/(n-1) - l.parts[e]
+	l.replicaLoads[e] = l.popularity[e] / n
+	l.extraLoads[e] = l.popularity[e]/(n-1) - l.replicaLoads[e]
 }
 
-// room reports whether a rank may get an expert: it had it at first, or has not got too many since.
-func (l *layer) room(e expertmap.Expert, r int) bool {
-	if l.origin.has(e, r) {
+// mayGain reports whether a rank may gain an expert: it held it at the start, or is still below its
+// limits.
+func (l *layer) mayGain(e expertmap.Expert, r int) bool {
+	if l.initial.has(e, r) {
 		return true
 	}
-	if l.maxFresh != 0 && l.fresh[r] >= l.maxFresh {
+	if l.maxFresh != 0 && l.gained[r] >= l.maxFresh {
 		return false
 	}
-	return l.maxRank == 0 || l.loads[r]+l.fresh[r]-l.made[r] < l.maxRank
+	return l.maxRank == 0 || l.loads[r]+l.gained[r]-l.applied[r] < l.maxRank
 }
 
-// add notes that a rank now holds an expert.
+// add records that a rank now holds an expert.
 func (l *layer) add(e expertmap.Expert, r int) {
 	l.holders.add(e, r)
-	if !l.origin.has(e, r) {
-		l.fresh[r]++
+	if !l.initial.has(e, r) {
+		l.gained[r]++
 	}
 }
 
-// remove notes that a rank no longer holds an expert.
+// remove records that a rank no longer holds an expert.
 func (l *layer) remove(e expertmap.Expert, r int) {
 	l.holders.remove(e, r)
-	if !l.origin.has(e, r) {
-		l.fresh[r]--
+	if !l.initial.has(e, r) {
+		l.gained[r]--
 	}
 }
 
-// part returns the load of one replica of an expert.
-func (l *layer) part(e expertmap.Expert) float64 {
+// replicaLoad returns the load of one replica of an expert.
+func (l *layer) replicaLoad(e expertmap.Expert) float64 {
 	if e == empty {
 		return 0
 	}
-	return l.parts[e]
+	return l.replicaLoads[e]
 }
 
-// reload computes the loads anew, so that rounding does not build up.
-func (l *layer) reload() {
+// recomputeLoads recomputes the loads so that rounding errors do not accumulate.
+func (l *layer) recomputeLoads() {
 	for r, held := range l.slots {
 		l.load[r] = 0
 		for _, e := range held {
-			l.load[r] += l.part(e)
+			l.load[r] += l.replicaLoad(e)
 		}
-		l.load[r] *= l.inverse[r]
+		l.load[r] *= l.inverseSpeed[r]
 	}
 }
 
-// heaviest returns the rank with the largest load, and that load.
-func (l *layer) heaviest() (int, float64) {
+// mostLoaded returns the rank with the largest load, and that load.
+func (l *layer) mostLoaded() (int, float64) {
 	high := 0
 	for r, load := range l.load {
 		if load > l.load[high] {
@@ -205,12 +209,12 @@
 	return high, l.load[high]
 }
 
-// skew returns the largest load against the mean; 1 is even.
+// skew returns the ratio of the largest load to the mean; 1 is balanced.
 func (l *layer) skew() float64 {
 	if l.mean == 0 {
 		return 1
 	}
-	_, high := l.heaviest()
+	_, high := l.mostLoaded()
 	return high / l.mean
 }
 
@@ -220,15 +224,15 @@
 	l.slots[r] = held
 }
 
-// raised returns the largest load among the holders of an expert, other than two ranks, once each
-// has more of it.
-func (l *layer) raised(e expertmap.Expert, more float64, a, b int) float64 {
+// maxHolderLoad returns the largest load among the holders of an expert except ranks a and b, after
+// each gains the load more.
+func (l *layer) maxHolderLoad(e expertmap.Expert, more float64, a, b int) float64 {
 	var high float64
 	for w, word := range l.holders.of(e) {
 		for ; word != 0; word &= word - 1 {
 			r := w*wordBits + bits.TrailingZeros64(word)
 			if r != a && r != b {
-				high = max(high, l.load[r]+more*l.inverse[r])
+				high = max(high, l.load[r]+more*l.inverseSpeed[r])
 			}
 		}
 	}
--- a/services/placement/move.go
+++ b/services/placement/move.go
@@ -5,8 +5,8 @@
 
 import "fawnwinch.org/fawnwinch/models/expertmap"
 
-// move changes one layer: at rank to, slot toSlot, expert in is loaded in place of expert out.
-// If swap is set, rank from gets out in place of in at fromSlot, which is a second load.
+// move changes one layer: at rank to, slot toSlot, expert in is loaded instead of expert out.
+// If swap is set, rank from loads out instead of in at fromSlot, which is a second load.
 type move struct {
 	from, fromSlot int
 	to, toSlot     int
@@ -21,27 +21,27 @@
 	return 1
 }
 
-// search looks for the move that relieves the heaviest rank of a layer most, for its cost, without
-// making another rank as heavy.
+// search finds the move that relieves the most loaded rank of a layer most for its cost, without
+// loading another rank as much.
 type search struct {
-	l    *layer
-	high int
-	top  float64
-	// relief is the fall from top to the largest load that the best move leaves at the ranks it
-	// touches, for each expert loaded.
+	l      *layer
+	source int
+	top    float64
+	// relief is the difference, per loaded expert, between top and the largest load that the best
+	// move leaves at the ranks it changes.
 	relief float64
 	best   move
 	found  bool
 }
 
-// minRelief is the least relief worth a look, as a part of the mean load.
+// minRelief is the minimum relief of a move, as a fraction of the mean load.
 const minRelief = 1e-6
 
-// best returns the best move of the layer, or false if none relieves the heaviest rank.
+// best returns the best move of the layer, or false if none relieves the most loaded rank.
 func (l *layer) best() (move, bool) {
 	s := search{l: l, relief: minRelief * l.mean}
-	s.high, s.top = l.heaviest()
-	for slot, in := range l.slots[s.high] {
+	s.source, s.top = l.mostLoaded()
+	for slot, in := range l.slots[s.source] {
 		if in != empty {
 			s.unload(slot, in)
 		}
@@ -49,65 +49,66 @@
 	return s.best, s.found
 }
 
-// unload tries every other rank for an expert that the heaviest rank holds.
+// unload tries to place an expert of the most loaded rank at every other rank.
 func (s *search) unload(slot int, in expertmap.Expert) {
 	l := s.l
-	partNow, partThen := l.parts[in], l.popularity[in]/float64(l.replicas[in]+1)
+	loadNow, loadAfter := l.replicaLoads[in], l.popularity[in]/float64(l.replicas[in]+1)
 	for to := range l.slots {
-		if to == s.high || l.load[to] >= s.top || l.holders.has(in, to) || !l.room(in, to) {
+		if to == s.source || l.load[to] >= s.top || l.holders.has(in, to) || !l.mayGain(in, to) {
 			continue
 		}
-		m := move{from: s.high, fromSlot: slot, to: to, in: in}
+		m := move{from: s.source, fromSlot: slot, to: to, in: in}
 		for toSlot, out := range l.slots[to] {
 			m.toSlot, m.out, m.swap = toSlot, out, false
 			if out == empty || l.replicas[out] > 1 {
-				s.tryReplica(m, partNow, partThen)
+				s.tryReplica(m, loadNow, loadAfter)
 			}
-			if out != empty && !l.holders.has(out, s.high) && l.room(out, s.high) {
+			if out != empty && !l.holders.has(out, s.source) && l.mayGain(out, s.source) {
 				m.swap = true
-				s.trySwap(m, partNow)
+				s.trySwap(m, loadNow)
 			}
 		}
 	}
 }
 
-// tryReplica considers one more replica of in, at the price of one replica of out.
-func (s *search) tryReplica(m move, partNow, partThen float64) {
+// tryReplica evaluates one more replica of in at the cost of one replica of out.
+func (s *search) tryReplica(m move, loadNow, loadAfter float64) {
 	l, limit := s.l, s.top-s.relief
-	after := l.load[m.to] + (partThen-l.part(m.out))*l.inverse[m.to]
+	after := l.load[m.to] + (loadAfter-l.replicaLoad(m.out))*l.inverseSpeed[m.to]
 	if after >= limit {
 		return
 	}
-	from := l.load[m.from] - (partNow-partThen)*l.inverse[m.from]
+	from := l.load[m.from] - (loadNow-loadAfter)*l.inverseSpeed[m.from]
 	if m.out != empty {
-		more := l.more[m.out]
+		more := l.extraLoads[m.out]
 		if l.holders.has(m.out, m.from) {
-			from += more * l.inverse[m.from]
+			from += more * l.inverseSpeed[m.from]
 		}
-		after = max(after, l.raised(m.out, more, m.from, m.to))
+		after = max(after, l.maxHolderLoad(m.out, more, m.from, m.to))
 	}
-	s.offer(m, max(after, from))
+	s.consider(m, max(after, from))
 }
 
-// trySwap considers an exchange of in and out between the two ranks.
-func (s *search) trySwap(m move, part float64) {
+// trySwap evaluates an exchange of in and out between the two ranks.
+func (s *search) trySwap(m move, replicaLoad float64) {
 	l, limit := s.l, s.top-2*s.relief
-	shift := part - l.part(m.out)
-	after := l.load[m.to] + shift*l.inverse[m.to]
+	shift := replicaLoad - l.replicaLoad(m.out)
+	after := l.load[m.to] + shift*l.inverseSpeed[m.to]
 	if after >= limit {
 		return
 	}
-	s.offer(m, max(after, l.load[m.from]-shift*l.inverse[m.from]))
+	s.consider(m, max(after, l.load[m.from]-shift*l.inverseSpeed[m.from]))
 }
 
-func (s *search) offer(m move, after float64) {
+func (s *search) consider(m move, after float64) {
 	relief := (s.top - after) / float64(m.cost())
 	if relief > s.relief {
 		s.best, s.relief, s.found = m, relief, true
 	}
 }
 
-// apply makes a move. The slot lists of touched ranks are copied, so that the map they came from stays.
+// apply applies a move. The slot lists of changed ranks are copied so that the original map is not
+// modified.
 func (l *layer) apply(m move) {
 	l.replace(m.to, m.toSlot, m.in)
 	l.add(m.in, m.to)
@@ -119,10 +120,10 @@
 		l.remove(m.in, m.from)
 		l.add(m.out, m.from)
 	} else {
-		l.count(m.in, 1)
+		l.changeReplicas(m.in, 1)
 		if m.out != empty {
-			l.count(m.out, -1)
+			l.changeReplicas(m.out, -1)
 		}
 	}
-	l.reload()
+	l.recomputeLoads()
 }
--- a/services/placement/placement_test.go
+++ b/services/placement/placement_test.go
@@ -15,12 +15,12 @@
 	"pgregory.net/rapid"
 )
 
-// run drives a policy over a trace and returns the mean skew and the moves.
+// run applies a policy to a trace and returns the mean skew and the number of moves.
 func run(t *trace, m *expertmap.Map, speed []float64, intervals int, decide func(*expertmap.Map, Popularity) *expertmap.Map) (skew float64, moves int) {
 	for i := range intervals {
 		p := t.next(i)
 		if i > 0 {
-			// A decision is made on the popularity of the interval before it.
+			// A decision uses the popularity of the previous interval.
 			s, err := Skew(m, p, speed)
 			if err != nil {
 				panic(err)
@@ -78,12 +78,12 @@
 		n    int
 	}{{"12ranks", small, 30}, {"32ranks", large, 30}} {
 		for trace, sudden := range traces {
-			for name := range policies(even(sz.size.ranks), 0) {
+			for name := range policies(uniform(sz.size.ranks), 0) {
 				b.Run(fmt.Sprintf("%s/%s/%s", sz.name, trace, name), func(b *testing.B) {
 					var skews, moves []float64
 					for range b.N {
 						for seed := range uint64(benchSeeds) {
-							speed := even(sz.size.ranks)
+							speed := uniform(sz.size.ranks)
 							if seed%2 == 1 {
 								speed[3] = 0.5
 							}
@@ -99,14 +99,14 @@
 	}
 }
 
-// BenchmarkDecide times one decision when little has changed.
+// BenchmarkDecide measures one decision after a small change of the popularity.
 func BenchmarkDecide(b *testing.B) {
 	for name, sz := range map[string]size{
 		"12x64x8/drift1%": small, "16x128x58/drift1%": {16, 128, 10, 58}, "32x128x29/drift1%": {32, 128, 5, 29},
 		"32x128x58/drift1%": large, "32x128x58/drift3%": large,
 	} {
 		b.Run(name, func(b *testing.B) {
-			speed := even(sz.ranks)
+			speed := uniform(sz.ranks)
 			drift := 0.01
 			if strings.HasSuffix(name, "3%") {
 				drift = 0.03
@@ -134,8 +134,9 @@
 	}
 }
 
-// TestDecideKeepsEveryExpert checks against random inputs that a decision loses no expert, changes no
-// slot count, keeps its input, tells its moves and skews truly, and never makes the skew worse.
+// TestDecideKeepsEveryExpert checks with random inputs that a decision loses no expert, changes no
+// slot count, does not modify its input, reports its moves and skews correctly, and never increases
+// the skew.
 func TestDecideKeepsEveryExpert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := size{ranks: rapid.IntRange(2, 8).Draw(t, "ranks"), experts: rapid.IntRange(2, 24).Draw(t, "experts"), layers: rapid.IntRange(1, 3).Draw(t, "layers")}
@@ -185,13 +186,13 @@
 	}
 }
 
-// TestApplyDiffersNot compares the loads after a row of moves with loads computed anew.
+// TestApplyDiffersNot compares the loads after a sequence of moves with recomputed loads.
 func TestApplyDiffersNot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := size{ranks: rapid.IntRange(2, 6).Draw(t, "ranks"), experts: rapid.IntRange(4, 16).Draw(t, "experts"), layers: 1}
 		s.slots = (s.experts+s.ranks-1)/s.ranks + 1
 		p := rapid.SliceOfN(rapid.Float64Range(0.01, 10), s.experts, s.experts).Draw(t, "popularity")
-		l, err := newLayer(s.first().Layers[0].Slots, p, even(s.ranks))
+		l, err := newLayer(s.first().Layers[0].Slots, p, uniform(s.ranks))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -201,7 +202,7 @@
 				return
 			}
 			l.apply(mv)
-			naive, err := newLayer(l.slots, p, even(s.ranks))
+			naive, err := newLayer(l.slots, p, uniform(s.ranks))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -212,8 +213,8 @@
 	})
 }
 
-// TestDecideShares checks that layers share the experts that each rank may load: one layer's change does not
-// keep another layer from its own at ranks that have room left.
+// TestDecideShares checks that the layers share the limit of experts that each rank may load: the
+// change of one layer does not prevent the change of another at ranks below the limit.
 func TestDecideShares(t *testing.T) {
 	s := size{ranks: 8, experts: 16, slots: 3, layers: 3}
 	p := make(Popularity, s.layers)
@@ -225,19 +226,19 @@
 		p[l][2*l] = 12
 	}
 	m := s.first()
-	const most = 1
-	r, err := Decide(m, p, even(s.ranks), Policy{Price: 0.01, MaxMoves: 100, MaxRank: most, Enough: 1.1}, nil)
+	const maxLoads = 1
+	r, err := Decide(m, p, uniform(s.ranks), Policy{Price: 0.01, MaxMoves: 100, MaxRank: maxLoads, Enough: 1.1}, nil)
 	if err != nil || r.Map == nil {
 		t.Fatalf("no change: %+v, %v", r, err)
 	}
 	for rank := range s.ranks {
-		if n := r.Map.Loads(m, rank); n > most {
+		if n := r.Map.Loads(m, rank); n > maxLoads {
 			t.Errorf("rank %d loads %d experts", rank, n)
 		}
 	}
 	for l := range p {
 		one := func(m *expertmap.Map) float64 {
-			skew, err := Skew(&expertmap.Map{Layers: m.Layers[l : l+1]}, p[l:l+1], even(s.ranks))
+			skew, err := Skew(&expertmap.Map{Layers: m.Layers[l : l+1]}, p[l:l+1], uniform(s.ranks))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/services/placement/planner.go
+++ b/services/placement/planner.go
@@ -11,7 +11,7 @@
 	"fawnwinch.org/fawnwinch/models/intent"
 )
 
-// Reason tells why a plan changes a map, or why it does not.
+// Reason is the reason why a plan changes a map or does not.
 type Reason string
 
 // The reasons.
@@ -23,7 +23,7 @@
 	ReasonNoData   Reason = "no-data"
 )
 
-// Plan is what a planner wants.
+// Plan is the decision of a planner.
 type Plan struct {
 	// Map is the map to switch to, or nil.
 	Map    *expertmap.Map
@@ -34,15 +34,15 @@
 }
 
 const (
-	// halfLife is the time after which a token counts half.
+	// halfLife is the time after which the weight of a token has halved.
 	halfLife = 20 * time.Second
-	// budgetPart is the part of all slots that one plan may load.
-	budgetPart = 0.25
-	// rollbackWindow is the time after a switch in which it may be taken back.
+	// budgetFraction is the fraction of all slots that one plan may load.
+	budgetFraction = 0.25
+	// rollbackWindow is the time after a switch in which it may be rolled back.
 	rollbackWindow = 5 * time.Minute
-	// rollbackMargin is how much worse than the old map the new one must be to be taken back.
+	// rollbackMargin is the excess of the new map's skew over the old map's that causes a rollback.
 	rollbackMargin = 0.02
-	// minTokens is the number of tokens a layer must have had before a plan is made.
+	// minTokens is the number of tokens a layer must have received before a plan is made.
 	minTokens = 100
 )
 
@@ -58,27 +58,27 @@
 	switchedAt time.Time
 }
 
-// NewPlanner returns a planner that has seen nothing.
+// NewPlanner returns a planner without observations.
 func NewPlanner() *Planner { return &Planner{} }
 
-// Observe takes in the token counts of all experts since the engines started.
+// Observe processes the token counts of all experts since the engines started.
 func (p *Planner) Observe(now time.Time, counts [][]float64) {
 	if p.last == nil || len(p.last) != len(counts) {
 		p.last, p.lastAt = counts, now
 		return
 	}
-	keep := math.Exp2(-now.Sub(p.lastAt).Seconds() / halfLife.Seconds())
+	decay := math.Exp2(-now.Sub(p.lastAt).Seconds() / halfLife.Seconds())
 	if p.popularity == nil {
 		p.popularity = make(Popularity, len(counts))
 		for l := range counts {
 			p.popularity[l] = make([]float64, len(counts[l]))
 		}
 	}
-	p.tokens *= keep
+	p.tokens *= decay
 	for l := range counts {
 		for e := range counts[l] {
 			delta := max(0, counts[l][e]-p.last[l][e])
-			p.popularity[l][e] = keep*p.popularity[l][e] + delta
+			p.popularity[l][e] = decay*p.popularity[l][e] + delta
 			if l == 0 {
 				p.tokens += delta
 			}
@@ -87,13 +87,13 @@
 	p.last, p.lastAt = counts, now
 }
 
-// Switched notes that a map has come into use.
+// Switched records that a new map is in use; from is the map before it.
 func (p *Planner) Switched(now time.Time, from *expertmap.Map) {
 	p.previous, p.switchedAt = from, now
 	p.floors = nil
 }
 
-// Plan decides about the map in use.
+// Plan returns the plan for the map in use.
 func (p *Planner) Plan(now time.Time, m *expertmap.Map, speed []float64, r intent.Rebalance) (Plan, error) {
 	if p.popularity == nil || p.tokens < minTokens {
 		return Plan{Reason: ReasonNoData}, nil
@@ -101,7 +101,7 @@
 	if back, ok := p.rollback(now, m, speed); ok {
 		return back, nil
 	}
-	if quiet(now, r) {
+	if inQuietHours(now, r) {
 		return Plan{Reason: ReasonQuiet}, nil
 	}
 	res, err := Decide(m, p.popularity, speed, policy(m, r.Prefer), p.floors)
@@ -116,8 +116,8 @@
 	return plan, nil
 }
 
-// rollback takes a recent change back if the map before it would now serve better. It is no
-// voluntary move, so it does not wait for the quiet hours to end.
+// rollback returns a plan that reverts a recent switch if the previous map would now have less
+// skew. A rollback is not a voluntary move, so it also happens in quiet hours.
 func (p *Planner) rollback(now time.Time, m *expertmap.Map, speed []float64) (Plan, bool) {
 	if p.previous == nil || now.Sub(p.switchedAt) > rollbackWindow {
 		return Plan{}, false
@@ -133,8 +133,9 @@
 	return Plan{Map: p.previous.Clone(), Reason: ReasonRollback, Moves: Moves(m, p.previous), Before: have, After: before}, true
 }
 
-// quiet reports whether voluntary moves are to be left undone at this hour (UTC).
-func quiet(now time.Time, r intent.Rebalance) bool {
+// inQuietHours reports whether now is within the quiet hours (UTC), in which voluntary moves are
+// not made.
+func inQuietHours(now time.Time, r intent.Rebalance) bool {
 	h := now.UTC().Hour()
 	if r.QuietFrom <= r.QuietTo {
 		return h >= r.QuietFrom && h < r.QuietTo
@@ -149,21 +150,21 @@
 			slots += len(held)
 		}
 	}
-	budget := int(budgetPart * float64(slots))
+	budget := int(budgetFraction * float64(slots))
 	if prefer == intent.PreferSkew {
 		return SkewPolicy(budget)
 	}
 	return CostPolicy(budget)
 }
 
-// Speeds estimates the relative speed of each rank from the load its experts should give it and the
-// time it was busy in a step. A rank that told nothing counts as 1.
+// Speeds estimates the relative speed of each rank from the expected load of its experts and its
+// busy time per step. If any rank has reported no time, all speeds are 1.
 func Speeds(m *expertmap.Map, p Popularity, busy []time.Duration) []float64 {
 	speed := make([]float64, len(busy))
 	for i := range speed {
 		speed[i] = 1
 	}
-	layers, err := load(m, p, speed)
+	layers, err := newLayers(m, p, speed)
 	if err != nil {
 		return speed
 	}
@@ -186,10 +187,10 @@
 	return speed
 }
 
-// roundSpeed keeps small differences, which are noise, from causing moves.
+// roundSpeed rounds a speed so that small differences, which are noise, do not cause moves.
 func roundSpeed(s float64) float64 {
-	const grain = 0.1
-	return max(grain, math.Round(s/grain)*grain)
+	const resolution = 0.1
+	return max(resolution, math.Round(s/resolution)*resolution)
 }
 
 // Popularity returns the smoothed popularity, or nil.
--- a/services/placement/planner_test.go
+++ b/services/placement/planner_test.go
@@ -12,7 +12,8 @@
 
 var noon = time.Date(2026, 6, 1, 12, 0, 0, 0, time.UTC)
 
-// counts returns token counts in which a few experts get nearly all.
+// counts returns token counts in which a quarter of the experts receive ten times the tokens of the
+// others.
 func counts(s size, hot, times int) [][]float64 {
 	out := make([][]float64, s.layers)
 	for l := range out {
@@ -53,7 +54,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := NewPlanner()
 			tc.prepare(p)
-			got, err := p.Plan(noon, s.first(), even(s.ranks), tc.rebalance)
+			got, err := p.Plan(noon, s.first(), uniform(s.ranks), tc.rebalance)
 			if err != nil || got.Reason != tc.want || (got.Map != nil) != (tc.want == ReasonImprove) {
 				t.Errorf("plan %+v, %v; want %s", got, err, tc.want)
 			}
@@ -61,15 +62,15 @@
 	}
 }
 
-// TestRollback checks that a change that has become worse than what it replaced is taken back, even
-// in quiet hours.
+// TestRollback checks that a change is rolled back once its map is worse than the previous one,
+// also in quiet hours.
 func TestRollback(t *testing.T) {
 	s := size{ranks: 4, experts: 16, slots: 5, layers: 2}
 	p := NewPlanner()
 	p.Observe(noon, counts(s, 1, 0))
 	p.Observe(noon, counts(s, 1, 100))
 	first := s.first()
-	plan, err := p.Plan(noon, first, even(s.ranks), intent.Rebalance{Prefer: intent.PreferSkew})
+	plan, err := p.Plan(noon, first, uniform(s.ranks), intent.Rebalance{Prefer: intent.PreferSkew})
 	if err != nil || plan.Map == nil {
 		t.Fatalf("no improvement: %+v %v", plan, err)
 	}
@@ -78,9 +79,9 @@
 		p.Observe(noon.Add(time.Duration(i+1)*halfLife), add(counts(s, 1, 100), counts(s, 3, 100*(i+1))))
 	}
 	later := noon.Add(2 * time.Minute)
-	back, err := p.Plan(later, plan.Map, even(s.ranks), intent.Rebalance{Prefer: intent.PreferSkew, QuietFrom: 11, QuietTo: 22})
-	before, _ := Skew(first, p.Popularity(), even(s.ranks))
-	now, _ := Skew(plan.Map, p.Popularity(), even(s.ranks))
+	back, err := p.Plan(later, plan.Map, uniform(s.ranks), intent.Rebalance{Prefer: intent.PreferSkew, QuietFrom: 11, QuietTo: 22})
+	before, _ := Skew(first, p.Popularity(), uniform(s.ranks))
+	now, _ := Skew(plan.Map, p.Popularity(), uniform(s.ranks))
 	if now <= before+rollbackMargin {
 		t.Fatalf("the case shows nothing: skew %f, before %f", now, before)
 	}
@@ -98,7 +99,7 @@
 	return a
 }
 
-// TestSpeeds checks that a rank that is busy for longer with the same work counts as slower.
+// TestSpeeds checks that a rank with a longer busy time for the same work is rated slower.
 func TestSpeeds(t *testing.T) {
 	s := size{ranks: 4, experts: 16, slots: 4, layers: 1}
 	ms := time.Millisecond
--- a/services/placement/plot_test.go
+++ b/services/placement/plot_test.go
@@ -18,11 +18,11 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// plotFile names the environment variable with the file for the plot of the frontier.
+// plotFile is the environment variable with the file name for the plot.
 const plotFile = "FAWNWINCH_PLOT"
 
-// BenchmarkPlot draws skew against loaded experts for a row of prices, with the full recompute and the
-// static map, if FAWNWINCH_PLOT names a file.
+// BenchmarkPlot plots skew against loaded experts for a series of prices and for the full
+// recompute, if FAWNWINCH_PLOT is set to a file name.
 func BenchmarkPlot(b *testing.B) {
 	path := os.Getenv(plotFile)
 	if path == "" {
@@ -33,7 +33,7 @@
 	p.X.Label.Text = "experts loaded"
 	p.Y.Label.Text = "mean of largest rank load / mean"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	p.Y.Tick.Marker = plot.TickerFunc(everyTwentieth)
+	p.Y.Tick.Marker = plot.TickerFunc(skewTicks)
 	p.Legend.Top = true
 	colours := []color.Color{color.RGBA{R: 200, A: 255}, color.RGBA{B: 200, A: 255}, color.RGBA{G: 140, A: 255}}
 	for i, name := range []string{"season", "swap", "language"} {
@@ -56,8 +56,8 @@
 	}
 }
 
-// everyTwentieth marks an axis at steps of 0.05 and names every other one.
-func everyTwentieth(low, high float64) []plot.Tick {
+// skewTicks places ticks at steps of 0.05 and labels every other one.
+func skewTicks(low, high float64) []plot.Tick {
 	var out []plot.Tick
 	for i := int(math.Ceil(low * 20)); float64(i) <= high*20; i++ {
 		t := plot.Tick{Value: float64(i) / 20}
@@ -69,7 +69,7 @@
 	return out
 }
 
-// frontier returns loaded experts and skew for a row of prices.
+// frontier returns loaded experts and skew for a series of prices.
 func frontier(sudden func(*trace, int)) plotter.XYs {
 	var out plotter.XYs
 	for _, price := range []float64{0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.04, 0.08} {
@@ -97,7 +97,7 @@
 func measured(sudden func(*trace, int), policy func([]float64) func(*expertmap.Map, Popularity) *expertmap.Map) plotter.XY {
 	var skews, moves []float64
 	for seed := range uint64(benchSeeds) {
-		speed := even(small.ranks)
+		speed := uniform(small.ranks)
 		if seed%2 == 1 {
 			speed[3] = 0.5
 		}
--- a/services/placement/trace_test.go
+++ b/services/placement/trace_test.go
@@ -19,7 +19,7 @@
 	large = size{ranks: 32, experts: 128, slots: 5, layers: 58}
 )
 
-// budget is a quarter of all slots, which is what one decision may load.
+// budget returns a quarter of all slots, the limit of one decision.
 func (s size) budget() int { return s.ranks * s.slots * s.layers / 4 }
 
 func (s size) first() *expertmap.Map {
@@ -30,7 +30,7 @@
 	return m
 }
 
-func even(n int) []float64 {
+func uniform(n int) []float64 {
 	out := make([]float64, n)
 	for i := range out {
 		out[i] = 1
@@ -38,7 +38,7 @@
 	return out
 }
 
-// trace makes popularity drift: slowly all the time, and by a sudden change at some intervals.
+// trace generates drifting popularity: a slow drift in every interval and a sudden change in some.
 type trace struct {
 	rnd    *rand.Rand
 	base   Popularity
@@ -75,7 +75,7 @@
 	return out
 }
 
-// swapHot changes places of the hottest experts with random ones.
+// swapHot swaps the popularity of the most popular experts with that of random ones.
 func swapHot(every int) func(*trace, int) {
 	return func(t *trace, interval int) {
 		if interval%every != every-1 {
@@ -83,14 +83,14 @@
 		}
 		for _, p := range t.base {
 			for range len(p) / 16 {
-				hot, other := maxAt(p), t.rnd.IntN(len(p))
+				hot, other := indexOfMax(p), t.rnd.IntN(len(p))
 				p[hot], p[other] = p[other], p[hot]
 			}
 		}
 	}
 }
 
-// language makes one half of the experts popular and the other not, at one interval.
+// language makes one half of the experts more popular and the other half less, at one interval.
 func language(at int) func(*trace, int) {
 	return func(t *trace, interval int) {
 		if interval != at {
@@ -108,7 +108,7 @@
 	}
 }
 
-func maxAt(p []float64) int {
+func indexOfMax(p []float64) int {
 	best := 0
 	for e := range p {
 		if p[e] > p[best] {
