--- a/services/once/bench_test.go
+++ b/services/once/bench_test.go
@@ -13,7 +13,7 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// journal makes the records of an owner that claims n keys, many to a record.
+// journal returns a journal in which an owner claims n keys, several per record.
 func journal(b *testing.B, self Owner, n int) services.Page {
 	b.Helper()
 	now := time.Unix(1000, 0)
@@ -38,7 +38,7 @@
 	return p
 }
 
-// BenchmarkReplay reports the time and the memory that a new agent needs to read a journal of claims.
+// BenchmarkReplay measures the time and memory that a new agent needs to read a journal of claims.
 func BenchmarkReplay(b *testing.B) {
 	for _, n := range []int{10000, 100000, 400000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/services/once/core.go
+++ b/services/once/core.go
@@ -10,15 +10,16 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// Config bounds what an owner keeps.
+// Config holds the limits of an owner's table.
 type Config struct {
-	// Lifetime is how long a key is remembered.
+	// Lifetime is how long a key is kept.
 	Lifetime time.Duration
-	// Capacity is the number of keys remembered at a time.
+	// Capacity is the maximum number of keys kept at a time.
 	Capacity int
 	// AnswerBytes bounds the bodies of kept answers, in bytes.
 	AnswerBytes int
-	// OutageAfter is how long the log must be out of reach before keys run without a journal; 0 means never.
+	// OutageAfter is how long the log must be unreachable before keys run without a journal; 0
+	// means never.
 	OutageAfter time.Duration
 }
 
@@ -31,24 +32,24 @@
 	Body        []byte
 }
 
-// State is how far a key has come.
+// State is the state of a key.
 type State string
 
 // The states of a key.
 const (
-	// StatePending means that the claim is not yet read back.
+	// StatePending means that the claim has not been read back yet.
 	StatePending State = "pending"
-	// StateIdle means that the claim stands but no attempt wants to run it any more; it has not run.
+	// StateIdle means that the key is claimed but has not run, and no attempt waits to run it.
 	StateIdle State = "idle"
-	// StateRunning means that it was sent to the upstream.
+	// StateRunning means that the request was sent to the upstream.
 	StateRunning State = "running"
-	// StateDone means that its answer is kept.
+	// StateDone means that the request has ended and its answer is kept.
 	StateDone State = "done"
-	// StateForeign means that another owner claimed it: it may have run there.
+	// StateForeign means that another owner claimed the key: it may have run there.
 	StateForeign State = "foreign"
 )
 
-// entry is what an owner knows about one key.
+// entry is an owner's record of one key.
 type entry struct {
 	key    KeyID
 	slice  request.Slice
@@ -57,14 +58,14 @@
 	digest request.Digest
 	at     time.Time
 	answer Answer
-	// journaled says that a claim of the key stands in the log.
+	// journaled reports whether the log contains a claim of the key.
 	journaled bool
 	// runner is the attempt that runs the key, or 0; waiting holds the others in order of arrival.
 	runner  Token
 	waiting []waiter
 }
 
-// Token tells the attempts at one agent apart. The shell gives each a new one, from 1.
+// Token identifies an attempt at one agent. The shell numbers the attempts from 1.
 type Token uint64
 
 // waiter is an attempt that waits for the claim or the answer of a key.
@@ -72,55 +73,58 @@
 	token    Token
 	request  request.ID
 	deadline time.Time
-	ask      bool
+	askOnly  bool
 }
 
-// sliceState is what the log says about a slice, and what this process does with it.
+// sliceState is the state of a slice according to the log and in this process.
 type sliceState struct {
 	owner Owner
 	epoch Epoch
-	// known is false while the slice's latest take was dropped by the log before it was read.
+	// known reports whether the slice's owner is known. It is false if the log may have dropped the
+	// slice's latest take before it was read.
 	known bool
-	// unjudged is the offset after the latest take that could not be judged.
-	unjudged services.Offset
-	// settled says that every key another owner may have run without a journal is known here.
+	// undecidedEnd is the offset after the latest take whose validity could not be determined.
+	undecidedEnd services.Offset
+	// settled reports whether this process knows every key that another owner may have run without
+	// a journal.
 	settled bool
-	// frozen says that the table of the slice was handed over: nothing new runs here.
+	// frozen reports whether the slice's table is being handed over: no new key runs here.
 	frozen   bool
 	frozenAt time.Time
 	// takenAt is the time at which the latest take was read.
 	takenAt time.Time
 }
 
-// Core decides for one agent. It does no I/O and reads no clock.
+// Core holds the state and makes the decisions of one agent. It does no I/O and reads no clock.
 type Core struct {
 	cfg  Config
 	self Owner
 
-	next    services.Offset
-	window  services.Offset
-	started bool
-	tail    services.Offset
-	contact time.Time
+	next        services.Offset
+	window      services.Offset
+	started     bool
+	tail        services.Offset
+	lastContact time.Time
 
 	slices  [Slices]sliceState
 	entries map[KeyID]*entry
-	// forbidden holds attempts that must not run any more, until their time.
+	// forbidden holds the requests that must not run any more, with the time until which this
+	// holds.
 	forbidden map[request.ID]time.Time
-	// unsent holds keys whose claim waits for the next journal record.
+	// unsent holds the keys whose claims wait for the next journal record.
 	unsent      []KeyID
 	answerBytes int
-	// handedOver holds the tables received for slices this process is about to take.
-	handedOver map[request.Slice]Table
-	actions    []Action
+	// receivedTables holds the tables received for slices that this process is about to take.
+	receivedTables map[request.Slice]Table
+	actions        []Action
 }
 
-// ActionKind tells a shell what to do.
+// ActionKind is the kind of an Action.
 type ActionKind string
 
 // The kinds of action.
 const (
-	// ActionStart tells an attempt to call Begin and then run.
+	// ActionStart has the attempt call Begin and then run.
 	ActionStart ActionKind = "start"
 	// ActionResolve gives an attempt its answer.
 	ActionResolve ActionKind = "resolve"
@@ -137,14 +141,15 @@
 func NewCore(cfg Config, self Owner) *Core {
 	return &Core{
 		cfg: cfg, self: self, entries: map[KeyID]*entry{},
-		forbidden: map[request.ID]time.Time{}, handedOver: map[request.Slice]Table{},
+		forbidden: map[request.ID]time.Time{}, receivedTables: map[request.Slice]Table{},
 	}
 }
 
 // Next returns the offset to read from.
 func (c *Core) Next() services.Offset { return c.next }
 
-// CaughtUp reports whether the core has applied all that the journal held at the first read.
+// CaughtUp reports whether the core has applied all records that the journal held at the first
+// read.
 func (c *Core) CaughtUp() bool { return c.started && c.next >= c.tail }
 
 // Owned returns the slices that this process owns, with their epochs.
@@ -158,7 +163,7 @@
 	return out
 }
 
-// Expire forgets keys and forbidden attempts whose time is over.
+// Expire removes expired keys and expired entries of forbidden requests.
 func (c *Core) Expire(now time.Time) {
 	for _, e := range c.entries {
 		if e.expired(now, c.cfg.Lifetime) {
@@ -185,7 +190,7 @@
 	delete(c.entries, e.key)
 }
 
-// Actions returns what the shell must do since the last call.
+// Actions returns the actions added since the last call.
 func (c *Core) Actions() []Action {
 	a := c.actions
 	c.actions = nil
--- a/services/once/explore_test.go
+++ b/services/once/explore_test.go
@@ -14,90 +14,93 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// The explorer drives cores, registers and a log through random schedules: late and lost messages,
-// pauses at every point, crashes, and processes cut from the log.
+// The explorer runs cores, registers and a log through random schedules with late and lost
+// messages, pauses at every point, crashes, and processes that cannot reach the log.
 
 const (
 	exploreSeeds    = 6000
 	exploreOutage   = 2 * time.Second
 	exploreLifetime = time.Hour
 	exploreSlice    = request.Slice(0)
-	// exploreRetention is how long a journal that forgets keeps its records, and keys are remembered, and exploreTime how long
-	// callers wait there. A key is used for exploreUse: retries come within the keys' lifetime.
-	exploreRetention = 16 * time.Second
-	exploreTime      = 7 * time.Second
-	exploreUse       = 7 * time.Second
-	// exploreBefore is how long an agent stands still before the journal is out of reach.
-	exploreBefore = time.Second
+	// With a journal that drops records, exploreRetention is the retention of records and the
+	// lifetime of keys, and exploreCallerTimeout the time-out of callers. A key is used for
+	// exploreKeyUse, so that retries arrive within the lifetime of the key.
+	exploreRetention     = 16 * time.Second
+	exploreCallerTimeout = 7 * time.Second
+	exploreKeyUse        = 7 * time.Second
+	// exploreOutageDelay is the time from the pause of an agent to the start of the journal outage.
+	exploreOutageDelay = time.Second
 )
 
-// message is a request on its way from a router to an agent.
+// message is a request in flight from a router to an agent.
 type message struct {
 	attempt Attempt
 	key     string
 	sent    time.Time
 }
 
-// run is an attempt that Begin let through and whose effect is still to come.
+// run is an attempt that Begin admitted and that has not taken effect yet.
 type run struct {
 	key     KeyID
 	attempt Attempt
 }
 
 type simAgent struct {
-	core    *Core
-	owner   Owner
-	number  int
-	paused  bool
-	wakes   time.Time
-	cut     bool
-	inbox   []message
-	chosen  []Attempt
-	runs    []run
-	waiting map[Token]Attempt
-	tokens  Token
+	core         *Core
+	owner        Owner
+	number       int
+	paused       bool
+	resumeAt     time.Time
+	disconnected bool
+	inbox        []message
+	admitted     []Attempt
+	runs         []run
+	waiting      map[Token]Attempt
+	tokens       Token
 }
 
 type simRouter struct {
-	reg     *Register
-	cut     bool
-	contact time.Time
-	// view is the owner this router knows.
+	reg          *Register
+	disconnected bool
+	contact      time.Time
+	// view is the owner that this router knows.
 	view  *simAgent
 	epoch Epoch
-	// sent holds the requests this router may ask about: nobody else knows them.
+	// sent holds the requests that this router may ask about; no other process has a record of
+	// them.
 	sent []message
 }
 
 type explorer struct {
-	rnd     *rand.Rand
-	now     time.Time
-	log     []services.LogRecord
-	agents  []*simAgent
-	dead    []*simAgent
-	routers []*simRouter
-	born    int
-	sent    int
-	// lost says that a router crashed that may have sent keys without the log.
-	lost    bool
-	effects map[KeyID]int
-	ranFor  map[request.ID]bool
-	notRun  map[request.ID]string
-	naive   bool
-	// forgets says that the journal drops old records, and outFrom and outTo when it is out of everybody's reach.
-	forgets        bool
+	rnd          *rand.Rand
+	now          time.Time
+	log          []services.LogRecord
+	agents       []*simAgent
+	dead         []*simAgent
+	routers      []*simRouter
+	incarnations int
+	sent         int
+	// lostRegister reports whether a router crashed that may have sent keys without the log.
+	lostRegister bool
+	effects      map[KeyID]int
+	ranFor       map[request.ID]bool
+	notRun       map[request.ID]string
+	naive        bool
+	// dropsRecords reports whether the journal drops old records. outFrom and outTo are the start
+	// and end of an outage of the journal.
+	dropsRecords   bool
 	outFrom, outTo time.Time
-	// lostSight counts the tables of owners that had lost sight of the journal.
-	lostSight int
-	// chaos from 0 to 4 tells how often processes crash, freeze and lose the log.
-	chaos int
+	// lostTables counts the tables marked as lost.
+	lostTables int
+	// faultRate is the rate, from 0 to 4, at which processes crash, pause and lose the log.
+	faultRate int
 }
 
-func newExplorer(seed uint64, naive, forgets bool) *explorer {
+func newExplorer(seed uint64, naive, dropsRecords bool) *explorer {
 	x := &explorer{
-		forgets: forgets,
-		rnd:     rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1000, 0), effects: map[KeyID]int{},
-		ranFor: map[request.ID]bool{}, notRun: map[request.ID]string{}, naive: naive, chaos: int(seed % 5),
+		dropsRecords: dropsRecords,
+		rnd:          rand.New(rand.NewPCG(seed, 3)), now: time.Unix(1000, 0), effects: map[KeyID]int{},
+		ranFor: map[request.ID]bool{}, notRun: map[request.ID]string{}, naive: naive, faultRate: int(seed % 5),
 	}
 	for i := range 3 {
 		x.agents = append(x.agents, x.newAgent(i))
@@ -109,46 +112,46 @@
 }
 
 func (x *explorer) lifetime() time.Duration {
-	if x.forgets {
+	if x.dropsRecords {
 		return exploreRetention
 	}
 	return exploreLifetime
 }
 
-// newKey returns the key of a new request, and how long its caller waits.
+// newKey returns the key of a new request and the time-out of its caller.
 func (x *explorer) newKey() (key string, wait time.Duration) {
 	key = fmt.Sprint(x.rnd.IntN(12))
-	if !x.forgets {
+	if !x.dropsRecords {
 		return key, time.Hour
 	}
-	return fmt.Sprint(key, " of ", x.now.Truncate(exploreUse).Unix()), exploreTime
+	return fmt.Sprint(key, " of ", x.now.Truncate(exploreKeyUse).Unix()), exploreCallerTimeout
 }
 
 func (x *explorer) newAgent(number int) *simAgent {
-	x.born++
-	o := Owner{Upstream: upstream.ID(fmt.Sprint(number)), Incarnation: upstream.Incarnation(fmt.Sprint(x.born))}
+	x.incarnations++
+	o := Owner{Upstream: upstream.ID(fmt.Sprint(number)), Incarnation: upstream.Incarnation(fmt.Sprint(x.incarnations))}
 	c := NewCore(Config{Lifetime: x.lifetime(), Capacity: 1000, AnswerBytes: 1 << 20, OutageAfter: exploreOutage}, o)
 	return &simAgent{core: c, owner: o, number: number, waiting: map[Token]Attempt{}}
 }
 
-// step does one random thing.
+// step performs one random action.
 func (x *explorer) step() {
 	x.now = x.now.Add(time.Duration(x.rnd.IntN(80)) * time.Millisecond)
 	a := x.agents[x.rnd.IntN(len(x.agents))]
 	r := x.routers[x.rnd.IntN(len(x.routers))]
 	p := x.rnd.IntN(100)
-	if p >= 32 && p < 40 && x.rnd.IntN(4) >= x.chaos {
+	if p >= 32 && p < 40 && x.rnd.IntN(4) >= x.faultRate {
 		return
 	}
 	switch {
 	case p < 14:
 		x.send(r)
 	case p < 32:
-		x.routerReads(r)
+		x.updateRouter(r)
 	case p < 34:
-		r.cut = x.rnd.IntN(3) == 0
+		r.disconnected = x.rnd.IntN(3) == 0
 	case p < 36:
-		a.cut = x.rnd.IntN(3) == 0
+		a.disconnected = x.rnd.IntN(3) == 0
 	case p < 38:
 		x.pause(a)
 	case p < 39:
@@ -156,7 +159,7 @@
 	case p < 40:
 		x.crashRouter(r)
 	case a.paused:
-	case p >= 88 && x.justBack():
+	case p >= 88 && x.outageJustEnded():
 		x.take(a)
 	case p < 52:
 		x.read(a)
@@ -169,7 +172,7 @@
 	case p < 88:
 		x.effect(a)
 	case p < 89:
-		if x.forgets || x.rnd.IntN(3) == 0 || x.now.Sub(time.Unix(1000, 0)) < 5*time.Second {
+		if x.dropsRecords || x.rnd.IntN(3) == 0 || x.now.Sub(time.Unix(1000, 0)) < 5*time.Second {
 			x.take(a)
 		}
 	case p < 93:
@@ -181,32 +184,33 @@
 	}
 }
 
-// out reports whether nobody reaches the journal.
-func (x *explorer) out() bool { return !x.now.Before(x.outFrom) && x.now.Before(x.outTo) }
+// inOutage reports whether the journal is unreachable for all processes.
+func (x *explorer) inOutage() bool { return !x.now.Before(x.outFrom) && x.now.Before(x.outTo) }
 
-// justBack reports whether the journal is within reach again, and has not been for long: then owners change.
-func (x *explorer) justBack() bool {
-	return !x.now.Before(x.outTo) && x.now.Sub(x.outTo) < exploreBefore
+// outageJustEnded reports whether an outage of the journal has ended recently: owners change then.
+func (x *explorer) outageJustEnded() bool {
+	return !x.now.Before(x.outTo) && x.now.Sub(x.outTo) < exploreOutageDelay
 }
 
-// pause stops an agent or lets it go on. With a journal that forgets it may stand still for longer than that keeps its records.
+// pause pauses or resumes an agent. With a journal that drops records, a pause may be longer than
+// the retention.
 func (x *explorer) pause(a *simAgent) {
-	if x.now.Before(a.wakes) {
+	if x.now.Before(a.resumeAt) {
 		return
 	}
 	a.paused = x.rnd.IntN(2) == 0
-	if _, owns := a.core.Owned()[exploreSlice]; !x.forgets || !a.paused || !owns {
+	if _, owns := a.core.Owned()[exploreSlice]; !x.dropsRecords || !a.paused || !owns {
 		return
 	}
-	x.outFrom = x.now.Add(exploreBefore)
+	x.outFrom = x.now.Add(exploreOutageDelay)
 	x.outTo = x.outFrom.Add(exploreRetention)
-	a.wakes = x.outTo
+	a.resumeAt = x.outTo
 	if x.rnd.IntN(2) == 0 {
-		a.wakes = x.outFrom // it goes on without the journal
+		a.resumeAt = x.outFrom // the agent resumes during the outage
 	}
 	for _, o := range x.agents {
 		if o != a {
-			x.append(o, &Record{Version: recordVersion, Kind: RecordClaims, Owner: o.owner}) // other slices go on
+			x.append(o, &Record{Version: recordVersion, Kind: RecordClaims, Owner: o.owner}) // other slices remain active
 		}
 	}
 }
@@ -219,8 +223,8 @@
 	id, ask, deadline := request.ID(""), false, x.now.Add(wait)
 	if len(r.sent) > 0 && x.rnd.IntN(4) == 0 {
 		asked := r.sent[x.rnd.IntN(len(r.sent))]
-		if x.forgets && x.now.Sub(asked.sent) > exploreTime {
-			return // its caller has left
+		if x.dropsRecords && x.now.Sub(asked.sent) > exploreCallerTimeout {
+			return // its caller has timed out
 		}
 		n, id, ask, deadline = asked.key, asked.attempt.Request, true, asked.attempt.Deadline
 	} else {
@@ -244,9 +248,10 @@
 	}
 }
 
-// routerReads lets a router hear of the newest owner that beats, and of the log.
-func (x *explorer) routerReads(r *simRouter) {
-	if !r.cut && !x.out() {
+// updateRouter updates a router's last contact with the log and, from a random agent, its view of
+// the newest owner.
+func (x *explorer) updateRouter(r *simRouter) {
+	if !r.disconnected && !x.inOutage() {
 		r.contact = x.now
 	}
 	a := x.agents[x.rnd.IntN(len(x.agents))]
@@ -267,7 +272,7 @@
 }
 
 func (x *explorer) crashRouter(r *simRouter) {
-	x.lost = x.lost || x.now.Sub(r.contact) > exploreOutage/2 || !r.reg.Empty(x.now)
+	x.lostRegister = x.lostRegister || x.now.Sub(r.contact) > exploreOutage/2 || !r.reg.Empty(x.now)
 	fresh := &simRouter{reg: NewRegister(x.lifetime()), contact: x.now}
 	for i, o := range x.routers {
 		if o == r {
@@ -282,11 +287,11 @@
 }
 
 func (x *explorer) read(a *simAgent) {
-	if a.cut || x.out() {
+	if a.disconnected || x.inOutage() {
 		return
 	}
 	first := 0
-	for x.forgets && first < len(x.log) && x.now.Sub(x.log[first].At) > exploreRetention {
+	for x.dropsRecords && first < len(x.log) && x.now.Sub(x.log[first].At) > exploreRetention {
 		first++
 	}
 	from := max(int(a.core.Next()), first)
@@ -296,9 +301,9 @@
 	x.collect(a)
 }
 
-// append adds a record; it reports whether the writer learns that it was added.
+// append adds a record and reports whether the writer receives the confirmation.
 func (x *explorer) append(a *simAgent, rec *Record) bool {
-	if a.cut || x.out() {
+	if a.disconnected || x.inOutage() {
 		return false
 	}
 	raw, err := rec.Encode()
@@ -342,17 +347,17 @@
 	}
 	switch d.Kind {
 	case DecisionAnswer:
-		x.told(m.attempt, d.Answer)
+		x.recordAnswer(m.attempt, d.Answer)
 	case DecisionRun:
-		a.chosen = append(a.chosen, m.attempt)
+		a.admitted = append(a.admitted, m.attempt)
 	case DecisionWait:
 		a.waiting[m.attempt.Token] = m.attempt
 	}
 	x.collect(a)
 }
 
-// told notes an answer, if its caller is still there.
-func (x *explorer) told(a Attempt, answer Answer) {
+// recordAnswer records a not-run answer if its caller is still waiting.
+func (x *explorer) recordAnswer(a Attempt, answer Answer) {
 	if answer.Outcome == request.OutcomeNotRun && x.now.Before(a.Deadline) {
 		x.notRun[a.Request] = answer.Reason
 	}
@@ -366,23 +371,23 @@
 		}
 		delete(a.waiting, act.Token)
 		if act.Kind == ActionStart {
-			a.chosen = append(a.chosen, at)
+			a.admitted = append(a.admitted, at)
 			continue
 		}
-		x.told(at, act.Answer)
+		x.recordAnswer(at, act.Answer)
 	}
 }
 
 func (x *explorer) begin(a *simAgent) {
-	if len(a.chosen) == 0 {
+	if len(a.admitted) == 0 {
 		return
 	}
-	at := a.chosen[0]
-	a.chosen = a.chosen[1:]
+	at := a.admitted[0]
+	a.admitted = a.admitted[1:]
 	if x.naive || a.core.Begin(x.now, at) {
 		a.runs = append(a.runs, run{key: at.Key, attempt: at})
 	} else {
-		x.told(at, Answer{Outcome: request.OutcomeNotRun, Reason: "begin"})
+		x.recordAnswer(at, Answer{Outcome: request.OutcomeNotRun, Reason: "begin"})
 	}
 	x.collect(a)
 }
@@ -397,7 +402,7 @@
 	switch x.rnd.IntN(4) {
 	case 0:
 		answer = Answer{Outcome: request.OutcomeNotRun}
-		x.told(r.attempt, answer)
+		x.recordAnswer(r.attempt, answer)
 	case 1:
 		answer = Answer{Outcome: request.OutcomeUnknown}
 		fallthrough
@@ -409,7 +414,7 @@
 	x.collect(a)
 }
 
-// take takes the slice by force, or after a handover by its live owner.
+// take takes the slice, sometimes after a handover by its live owner.
 func (x *explorer) take(a *simAgent) {
 	if !a.core.CaughtUp() {
 		return
@@ -422,7 +427,7 @@
 				return
 			}
 			if t.Lost {
-				x.lostSight++
+				x.lostTables++
 			}
 			a.core.Receive(t)
 		}
@@ -432,7 +437,7 @@
 
 func (x *explorer) settle(a *simAgent) {
 	v := a.core.View()[exploreSlice]
-	if !v.Mine || v.Settled || x.lost {
+	if !v.Mine || v.Settled || x.lostRegister {
 		return
 	}
 	var keys []KeyID
@@ -448,18 +453,18 @@
 	for t, at := range a.waiting {
 		delete(a.waiting, t)
 		if !a.core.Withdraw(at.Key, t) {
-			x.told(at, Answer{Outcome: request.OutcomeNotRun, Reason: "withdrawn"})
+			x.recordAnswer(at, Answer{Outcome: request.OutcomeNotRun, Reason: "withdrawn"})
 		}
 		x.collect(a)
 		return
 	}
 }
 
-// finish lets everyone who was paused, or seemed dead, do all it still would.
+// finish resumes all paused or seemingly dead agents and runs their remaining work.
 func (x *explorer) finish() {
 	for _, a := range append(x.agents, x.dead...) {
 		a.paused = false
-		for len(a.inbox)+len(a.chosen)+len(a.runs) > 0 {
+		for len(a.inbox)+len(a.admitted)+len(a.runs) > 0 {
 			x.deliver(a)
 			x.begin(a)
 			x.effect(a)
@@ -481,8 +486,8 @@
 	return nil
 }
 
-func explore(seed uint64, steps int, naive, forgets bool) (*explorer, error) {
-	x := newExplorer(seed, naive, forgets)
+func explore(seed uint64, steps int, naive, dropsRecords bool) (*explorer, error) {
+	x := newExplorer(seed, naive, dropsRecords)
 	for range steps {
 		x.step()
 	}
@@ -490,7 +495,7 @@
 	return x, x.verdict()
 }
 
-// TestExplore runs many schedules. A failure names its seed.
+// TestExplore runs many random schedules. A failure reports its seed.
 func TestExplore(t *testing.T) {
 	ran := 0
 	for seed := range uint64(exploreSeeds) {
@@ -506,9 +511,9 @@
 	}
 }
 
-// TestExploreForgets runs schedules with a journal that drops records, so that owners lose sight of it.
+// TestExploreForgets runs schedules with a journal that drops records before owners have read them.
 func TestExploreForgets(t *testing.T) {
-	const seeds, sights = exploreSeeds / 3, 10
+	const seeds, minLostTables = exploreSeeds / 3, 10
 	ran, lost := 0, 0
 	for seed := range uint64(seeds) {
 		x, err := explore(seed, 2500, false, true)
@@ -516,15 +521,15 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		ran += len(x.effects)
-		lost += x.lostSight
+		lost += x.lostTables
 	}
 	t.Logf("%d keys ran, %d times an owner had lost sight", ran, lost)
-	if ran < seeds || lost < sights {
+	if ran < seeds || lost < minLostTables {
 		t.Errorf("%d keys ran, %d times an owner had lost sight: the schedules show little", ran, lost)
 	}
 }
 
-// TestExploreFound repeats schedules that once showed a fault.
+// TestExploreFound repeats schedules that exposed faults.
 func TestExploreFound(t *testing.T) {
 	seeds := map[string]uint64{
 		"a handed-over key ran without its journal": 289067,
@@ -538,7 +543,7 @@
 	}
 }
 
-// TestExploreNaive checks that the schedules break an owner that runs without its journal.
+// TestExploreNaive checks that the schedules detect an owner that runs without its journal.
 func TestExploreNaive(t *testing.T) {
 	for seed := range uint64(200) {
 		if _, err := explore(seed, 600, true, false); err != nil {
--- a/services/once/journal.go
+++ b/services/once/journal.go
@@ -10,10 +10,10 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// Apply takes in a page of the journal that was read from Next on.
+// Apply processes a page of the journal that was read from Next on.
 func (c *Core) Apply(now time.Time, p services.Page) {
-	c.contact = now
-	c.open(p)
+	c.lastContact = now
+	c.checkBounds(p)
 	for _, r := range p.Records {
 		if r.Offset < c.next {
 			continue
@@ -32,11 +32,12 @@
 	}
 }
 
-// Contact notes that the log answered an append.
-func (c *Core) Contact(now time.Time) { c.contact = now }
+// Contact records that the log answered an append.
+func (c *Core) Contact(now time.Time) { c.lastContact = now }
 
-// open deals with the edges of what the log still keeps.
-func (c *Core) open(p services.Page) {
+// checkBounds checks the page against the read position: it initialises the core on the first read,
+// and resets ownership if records were dropped unread.
+func (c *Core) checkBounds(p services.Page) {
 	switch {
 	case !c.started:
 		c.started, c.tail = true, p.Tail
@@ -46,15 +47,15 @@
 	case p.First <= c.next && p.Tail >= c.next:
 		return
 	default:
-		c.loseSight()
+		c.resetOwnership()
 	}
 	c.next, c.window = p.First, p.First
 }
 
-// loseSight gives up all ownership: takes may have been dropped unread.
-func (c *Core) loseSight() {
+// resetOwnership drops all ownership, because takes may have been dropped unread.
+func (c *Core) resetOwnership() {
 	for i := range c.slices {
-		c.dropWaiting(request.Slice(i))
+		c.refuseWaiting(request.Slice(i))
 		c.slices[i] = sliceState{}
 	}
 }
@@ -63,17 +64,17 @@
 	for _, t := range rec.Takes {
 		sl := &c.slices[t.Slice]
 		switch {
-		case sl.known && !takeFits(sl, t, rec):
-		case !sl.known && (rec.AsOf < c.window || rec.AsOf < sl.unjudged):
-			sl.unjudged = off + 1
+		case sl.known && !followsLatest(sl, t, rec):
+		case !sl.known && (rec.AsOf < c.window || rec.AsOf < sl.undecidedEnd):
+			sl.undecidedEnd = off + 1
 		default:
 			c.setOwner(now, t, Epoch(off)+1, rec.Owner)
 		}
 	}
 }
 
-// takeFits reports whether a take follows the latest one of its slice.
-func takeFits(sl *sliceState, t Take, rec *Record) bool {
+// followsLatest reports whether a take is based on the latest take of its slice.
+func followsLatest(sl *sliceState, t Take, rec *Record) bool {
 	if t.Prev == 0 {
 		return sl.epoch <= Epoch(rec.Window)
 	}
@@ -88,24 +89,24 @@
 	*sl = sliceState{owner: owner, epoch: epoch, known: true, takenAt: now}
 	if owner != c.self {
 		if wasMine {
-			c.dropWaiting(t.Slice)
+			c.refuseWaiting(t.Slice)
 		}
 		return
 	}
-	table, handed := c.handedOver[t.Slice]
-	delete(c.handedOver, t.Slice)
+	table, handed := c.receivedTables[t.Slice]
+	delete(c.receivedTables, t.Slice)
 	sl.settled = refresh || first
 	if handed && table.Epoch == t.Prev && t.Prev != 0 {
 		c.merge(now, t.Slice, epoch, table)
 		sl.settled = true
 	}
 	if refresh {
-		c.renew(t.Slice, epoch)
+		c.renewEpoch(t.Slice, epoch)
 	}
 }
 
-// renew moves pending keys to the new epoch of a slice that this process keeps.
-func (c *Core) renew(s request.Slice, epoch Epoch) {
+// renewEpoch moves pending and idle keys to the new epoch of a slice that this process keeps.
+func (c *Core) renewEpoch(s request.Slice, epoch Epoch) {
 	for _, e := range c.entries {
 		if e.slice != s || e.epoch == epoch {
 			continue
@@ -119,14 +120,15 @@
 	}
 }
 
-// dropWaiting refuses what waits in a slice that this process no longer owns. What runs goes on.
-func (c *Core) dropWaiting(s request.Slice) {
+// refuseWaiting refuses the waiting attempts of a slice that this process no longer owns. Running
+// requests continue.
+func (c *Core) refuseWaiting(s request.Slice) {
 	for _, e := range c.entries {
 		if e.slice != s || e.state != StatePending || e.runner != 0 {
 			continue
 		}
 		c.refuse(e, ReasonNotOwner)
-		c.settleIdle(e)
+		c.releaseIdle(e)
 	}
 }
 
@@ -138,7 +140,7 @@
 		}
 		e, ok := c.entries[cl.Key]
 		if ok && rec.Owner == c.self {
-			c.claimed(e)
+			c.confirmClaim(e)
 			continue
 		}
 		if !ok || (e.epoch != cl.Epoch && e.state != StateRunning && e.state != StateDone) {
@@ -147,8 +149,8 @@
 	}
 }
 
-// claimed notes that the claim of a key stands in the log.
-func (c *Core) claimed(e *entry) {
+// confirmClaim records that the log contains the claim of a key.
+func (c *Core) confirmClaim(e *entry) {
 	e.journaled = true
 	if e.state != StatePending || e.runner != 0 {
 		return
@@ -162,7 +164,7 @@
 // maxClaims bounds the claims in one record.
 const maxClaims = 4000
 
-// Batch returns the record with the claims that wait for the journal, or nil if none do.
+// Batch returns a record with the claims that wait for the journal, or nil if there are none.
 func (c *Core) Batch() *Record {
 	rec := &Record{Version: recordVersion, Kind: RecordClaims, Owner: c.self}
 	n := min(len(c.unsent), maxClaims)
@@ -180,8 +182,8 @@
 	return rec
 }
 
-// Requeue takes back the claims of a record whose append failed or may have failed.
-// A claim that stands twice in the log counts once.
+// Requeue queues the claims of a record again whose append failed or may have failed.
+// A duplicate claim in the log has no effect.
 func (c *Core) Requeue(rec *Record) {
 	for _, cl := range rec.Claims {
 		if e, ok := c.entries[cl.Key]; ok && !e.journaled {
@@ -203,7 +205,7 @@
 	return rec
 }
 
-// SliceView is what a shell sees of a slice when it decides about ownership.
+// SliceView is the state of a slice from which a shell decides about ownership.
 type SliceView struct {
 	Slice   request.Slice
 	Owner   Owner
@@ -216,7 +218,7 @@
 	TakenAt  time.Time
 }
 
-// View returns all slices.
+// View returns the state of all slices.
 func (c *Core) View() []SliceView {
 	out := make([]SliceView, Slices)
 	for i := range c.slices {
@@ -229,8 +231,8 @@
 	return out
 }
 
-// Settle ends the doubt about keys that the former owners of a slice may have run without a journal:
-// keys lists all of them.
+// Settle marks a slice as settled. keys lists all keys that its former owners may have run without
+// a journal. It returns false if this process does not own the slice in the given epoch.
 func (c *Core) Settle(now time.Time, s request.Slice, epoch Epoch, keys []KeyID) bool {
 	sl := &c.slices[s]
 	if sl.owner != c.self || sl.epoch != epoch {
@@ -254,13 +256,13 @@
 	Answer Answer
 }
 
-// Table is what an owner hands to the next one.
+// Table holds the keys of a slice that an owner hands over to the next one.
 type Table struct {
 	Slice request.Slice
 	Epoch Epoch
 	Keys  []KeyRecord
-	// Lost says that the asked process no longer knows who owns the slice: the slice is taken as from a
-	// dead owner, without a table.
+	// Lost reports whether the asked process no longer knows the slice's owner. The slice is then
+	// taken without a table, as from a dead owner.
 	Lost bool
 }
 
@@ -269,14 +271,15 @@
 
 func (e ErrBusy) Error() string { return "slice has requests in progress" }
 
-// Handover freezes a slice and returns its table once nothing in it is in progress, or a table that is
-// lost if this process lost sight of the journal.
-// The slice stays frozen until a take of it is read.
+// Handover freezes a slice and returns its table once none of its keys is in progress. If the
+// journal dropped records before this process read them, the table is marked as lost. The slice
+// stays frozen until a take of it is read.
 func (c *Core) Handover(now time.Time, s request.Slice) (Table, error) {
 	sl := &c.slices[s]
 	if c.started && !sl.known {
-		// A refusal would be asked again for ever: others know the take that this process lost sight of,
-		// and its heartbeats tell them that the owner lives.
+		// After a refusal the others would retry forever: they have read the take that was dropped
+		// before this process read it, and the heartbeats of this process show that the owner is
+		// alive.
 		return Table{Slice: s, Lost: true}, nil
 	}
 	if sl.owner != c.self {
@@ -305,7 +308,8 @@
 	return t, nil
 }
 
-// ErrUnsettled reports a slice whose table cannot be handed over yet: a router that may know of more keys has not told them.
+// ErrUnsettled reports a slice whose table cannot be handed over yet: a router that may have sent
+// further keys has not reported them.
 type ErrUnsettled struct{ Slice request.Slice }
 
 func (e ErrUnsettled) Error() string { return "slice is not settled" }
@@ -318,13 +322,13 @@
 // Receive keeps the table of a slice that this process is about to take.
 func (c *Core) Receive(t Table) {
 	if t.Lost {
-		delete(c.handedOver, t.Slice)
+		delete(c.receivedTables, t.Slice)
 		return
 	}
-	c.handedOver[t.Slice] = t
+	c.receivedTables[t.Slice] = t
 }
 
-// merge takes in the table of the former owner.
+// merge adds the table of the former owner.
 func (c *Core) merge(now time.Time, s request.Slice, epoch Epoch, t Table) {
 	for _, k := range t.Keys {
 		if k.State == StateIdle {
--- a/services/once/loops.go
+++ b/services/once/loops.go
@@ -16,7 +16,7 @@
 
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval = retryMin, retryMax
+	b.InitialInterval, b.MaxInterval = minRetryDelay, maxRetryDelay
 	return b
 }
 
@@ -60,12 +60,12 @@
 		case <-ctx.Done():
 			return
 		case <-s.wake:
-		case <-time.After(retryMax):
+		case <-time.After(maxRetryDelay):
 		}
 		if err := s.writeOnce(ctx); err != nil {
 			s.logger.Debug().Err(err).Msg("journal append failed")
 			sleep.For(ctx, b.NextBackOff())
-			s.nudge()
+			s.wakeWriter()
 			continue
 		}
 		b.Reset()
--- a/services/once/ownership.go
+++ b/services/once/ownership.go
@@ -12,29 +12,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is an agent of the same service as the routers see it.
+// Member is an agent of the same service as reported by the routers.
 type Member struct {
 	Owner Owner
 	State upstream.State
-	// Suspect says that the agent has missed heartbeats.
+	// Suspect reports whether the agent has missed heartbeats.
 	Suspect bool
 }
 
-// frozenLimit is how long a handed-over slice waits for its new owner before the old one takes it again.
-const frozenLimit = 3 * time.Second
+// frozenTimeout is how long a frozen slice waits for its new owner before the old one takes it
+// again.
+const frozenTimeout = 3 * time.Second
 
-// Moves lists what a process does about ownership.
+// Moves lists the changes of ownership that a process must start.
 type Moves struct {
-	// Take lists slices to take: their owner is gone, there never was one, or the take must be renewed.
+	// Take lists slices to take: their owner is gone, they never had one, or the take must be
+	// renewed.
 	Take []request.Slice
-	// Ask lists slices to ask the present owner for.
+	// Ask lists the slices to request from each current owner.
 	Ask map[Owner][]request.Slice
-	// Settle lists own slices with keys in doubt.
+	// Settle lists own slices that are not settled.
 	Settle []SliceView
 }
 
-// Decide tells an agent which slices to take, to ask for and to settle. Each slice belongs to the
-// ready agent with the highest rendezvous score, so that agents agree without talking.
+// Decide returns the slices that an agent must take, request and settle. Each slice belongs to the
+// ready agent with the highest rendezvous score, so that agents agree without communication.
 func Decide(now time.Time, self Owner, view []SliceView, members []Member, retention time.Duration) Moves {
 	m := Moves{Ask: map[Owner][]request.Slice{}}
 	alive := map[Owner]bool{}
@@ -43,10 +45,10 @@
 	}
 	for _, v := range view {
 		if v.Mine {
-			m.keep(now, v, retention)
+			m.addOwned(now, v, retention)
 			continue
 		}
-		if best, ok := prefer(v.Slice, members); !ok || best != self {
+		if best, ok := preferredOwner(v.Slice, members); !ok || best != self {
 			continue
 		}
 		if alive[v.Owner] {
@@ -58,8 +60,8 @@
 	return m
 }
 
-func (m *Moves) keep(now time.Time, v SliceView, retention time.Duration) {
-	stuck := v.Frozen && now.Sub(v.FrozenAt) > frozenLimit
+func (m *Moves) addOwned(now time.Time, v SliceView, retention time.Duration) {
+	stuck := v.Frozen && now.Sub(v.FrozenAt) > frozenTimeout
 	if stuck || now.Sub(v.TakenAt) > retention/2 {
 		m.Take = append(m.Take, v.Slice)
 	}
@@ -68,8 +70,8 @@
 	}
 }
 
-// prefer returns the ready member with the highest score for a slice.
-func prefer(s request.Slice, members []Member) (Owner, bool) {
+// preferredOwner returns the ready member with the highest score for a slice.
+func preferredOwner(s request.Slice, members []Member) (Owner, bool) {
 	var best Owner
 	var high uint64
 	found := false
--- a/services/once/owning.go
+++ b/services/once/owning.go
@@ -13,23 +13,23 @@
 	"fawnwinch.org/fawnwinch/modules/timeline"
 )
 
-// ownInterval is the time between two looks at who should own what.
-const ownInterval = 300 * time.Millisecond
+// ownershipInterval is the time between two checks of slice ownership.
+const ownershipInterval = 300 * time.Millisecond
 
-func (s *Service) ownLoop(ctx context.Context) {
-	ticker := time.NewTicker(ownInterval)
+func (s *Service) ownershipLoop(ctx context.Context) {
+	ticker := time.NewTicker(ownershipInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.own(ctx, clock.Now())
+			s.updateOwnership(ctx, clock.Now())
 		}
 	}
 }
 
-func (s *Service) own(ctx context.Context, now time.Time) {
+func (s *Service) updateOwnership(ctx context.Context, now time.Time) {
 	members, complete := s.directory.Members(now)
 	s.mu.Lock()
 	s.core.Expire(now)
@@ -43,7 +43,7 @@
 	}
 	take := moves.Take
 	for owner, list := range moves.Ask {
-		take = append(take, s.ask(ctx, owner, list)...)
+		take = append(take, s.requestTables(ctx, owner, list)...)
 	}
 	if len(take) > 0 {
 		s.take(ctx, take)
@@ -53,8 +53,9 @@
 	}
 }
 
-// ask gets the tables of slices from their owner and returns the slices it gave up.
-func (s *Service) ask(ctx context.Context, owner Owner, list []request.Slice) []request.Slice {
+// requestTables requests the tables of slices from their owner and returns the slices that it
+// handed over.
+func (s *Service) requestTables(ctx context.Context, owner Owner, list []request.Slice) []request.Slice {
 	var got []request.Slice
 	for _, sl := range list {
 		t, err := s.peers.Handover(ctx, owner, sl)
@@ -94,7 +95,7 @@
 	}
 }
 
-// Handover gives up a slice to the agent that asks for it.
+// Handover hands a slice over to the agent that asks for it.
 func (s *Service) Handover(now time.Time, sl request.Slice) (Table, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/services/once/record.go
+++ b/services/once/record.go
@@ -1,13 +1,13 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package once makes requests that may not be repeated run at most once.
+// Package once ensures that requests which must not be repeated run at most once.
 //
-// The keys of a service fall into slices. A record in the log gives each slice one owner, an
-// incarnation of an agent; the offset of that record is the slice's epoch. Before an owner runs
-// a request it journals a claim of the key, and runs it only once it has read the claim back
-// with its own epoch still in force. So the order of the log alone decides between two owners,
-// however long either was paused.
+// The keys of a service are divided into slices. A record in the log assigns each slice to one
+// owner, an incarnation of an agent; the offset of that record gives the slice's epoch. Before an
+// owner runs a request, it appends a claim of the key to the journal. It runs the request only
+// after it has read the claim back while its own epoch is still the current one. The order of the
+// log alone therefore decides between two owners, however long either was paused.
 package once
 
 import (
@@ -30,10 +30,10 @@
 // Epoch 0 means that the slice has had no owner.
 type Epoch uint64
 
-// KeyID is the fingerprint of an account and its idempotency key.
+// KeyID is the hash of an account and its idempotency key.
 type KeyID string
 
-// NewKeyID returns the fingerprint of a key of an account.
+// NewKeyID returns the hash of an account and its key.
 func NewKeyID(a account.ID, k request.Key) KeyID {
 	sum := sha256.Sum256([]byte(string(a) + "\x00" + string(k)))
 	return KeyID(base64.RawURLEncoding.EncodeToString(sum[:16]))
@@ -46,28 +46,28 @@
 	RPC         string               `json:"rpc"`
 }
 
-// RecordKind tells what a record of the journal is.
+// RecordKind is the kind of a journal record.
 type RecordKind string
 
 // The kinds of record.
 const (
 	// RecordTake makes the writer the owner of slices.
 	RecordTake RecordKind = "take"
-	// RecordClaims says that the owner is about to run, or has run, keys.
+	// RecordClaims records that the owner is about to run keys, or has run them.
 	RecordClaims RecordKind = "claims"
 )
 
 // recordVersion is the version of the journal format.
 const recordVersion = 1
 
-// Take claims ownership of a slice whose epoch was Prev. Prev 0 says that the writer has read no
+// Take claims ownership of a slice whose epoch was Prev. Prev 0 means that the writer has read no
 // take of the slice since Window.
 type Take struct {
 	Slice request.Slice `json:"slice"`
 	Prev  Epoch         `json:"prev"`
 }
 
-// Claim says that the owner of a slice may run a key.
+// Claim records that the owner of a slice may run a key.
 type Claim struct {
 	Slice request.Slice `json:"slice"`
 	Epoch Epoch         `json:"epoch"`
@@ -79,15 +79,15 @@
 	Version int        `json:"version"`
 	Kind    RecordKind `json:"kind"`
 	Owner   Owner      `json:"owner"`
-	// AsOf is the first offset the writer of a take had not applied.
+	// AsOf is the first offset that the writer of a take had not applied.
 	AsOf services.Offset `json:"as_of,omitempty"`
-	// Window is the first offset the writer of a take has read.
+	// Window is the first offset that the writer of a take has read.
 	Window services.Offset `json:"window,omitempty"`
 	Takes  []Take          `json:"takes,omitempty"`
 	Claims []Claim         `json:"claims,omitempty"`
 }
 
-// StreamOf returns the journal's stream of a service.
+// StreamOf returns the log stream of a service's journal.
 func StreamOf(id service.ID) services.Stream { return services.Stream("once." + string(id)) }
 
 // Encode returns the bytes of a record.
@@ -99,12 +99,12 @@
 	return raw, nil
 }
 
-// ErrBadRecord reports a journal record that cannot be read.
+// ErrBadRecord reports an invalid journal record.
 type ErrBadRecord struct{ Reason string }
 
 func (e ErrBadRecord) Error() string { return "journal record " + e.Reason }
 
-// DecodeRecord reads a journal record.
+// DecodeRecord decodes and validates a journal record.
 func DecodeRecord(raw []byte) (*Record, error) {
 	var r Record
 	if err := json.Unmarshal(raw, &r); err != nil {
@@ -115,12 +115,12 @@
 	}
 	for _, t := range r.Takes {
 		if t.Slice < 0 || t.Slice >= Slices {
-			return nil, ErrBadRecord{Reason: fmt.Sprintf("takes slice %d", t.Slice)}
+			return nil, ErrBadRecord{Reason: fmt.Sprintf("takes invalid slice %d", t.Slice)}
 		}
 	}
 	for _, c := range r.Claims {
 		if c.Slice < 0 || c.Slice >= Slices {
-			return nil, ErrBadRecord{Reason: fmt.Sprintf("claims in slice %d", c.Slice)}
+			return nil, ErrBadRecord{Reason: fmt.Sprintf("claims a key in invalid slice %d", c.Slice)}
 		}
 	}
 	return &r, nil
--- a/services/once/record_test.go
+++ b/services/once/record_test.go
@@ -11,7 +11,7 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// FuzzDecodeRecord checks that whatever stands in the journal, a core takes it without harm.
+// FuzzDecodeRecord checks that a core does not panic on arbitrary journal records.
 func FuzzDecodeRecord(f *testing.F) {
 	c := NewCore(Config{Lifetime: time.Hour, Capacity: 10, AnswerBytes: 1000}, Owner{Upstream: "u", Incarnation: "1"})
 	raw, err := c.TakeRecord([]request.Slice{0, 31}).Encode()
@@ -28,7 +28,7 @@
 	})
 }
 
-// TestTable checks the bounds of what an owner remembers.
+// TestTable checks the limits of an owner's table.
 func TestTable(t *testing.T) {
 	now := time.Unix(1000, 0)
 	self := Owner{Upstream: "u", Incarnation: "1"}
--- a/services/once/register.go
+++ b/services/once/register.go
@@ -17,11 +17,11 @@
 	Slice   request.Slice
 }
 
-// Register is a router's memory of the keys it sent to owners while the log was out of its reach.
+// Register holds the keys that a router sent to owners while it could not reach the log.
 // It does no I/O and reads no clock.
 type Register struct {
 	lifetime time.Duration
-	// floor holds the lowest epoch this router still sends to.
+	// floor holds the lowest epoch to which this router still sends.
 	floor map[SliceKey]Epoch
 	sent  map[SliceKey]map[KeyID]time.Time
 }
@@ -31,15 +31,16 @@
 	return &Register{lifetime: lifetime, floor: map[SliceKey]Epoch{}, sent: map[SliceKey]map[KeyID]time.Time{}}
 }
 
-// ErrOldOwner reports an owner that a newer one has replaced.
+// ErrOldOwner reports an owner that has been replaced by a newer one.
 type ErrOldOwner struct{ Have, Floor Epoch }
 
 func (e ErrOldOwner) Error() string {
 	return fmt.Sprintf("owner of epoch %d was replaced, the lowest valid epoch is %d", e.Have, e.Floor)
 }
 
-// Send is asked before a request goes to the owner of an epoch. If the log is out of reach, the
-// key is noted first.
+// Send must be called before a request is sent to the owner of an epoch. It returns an ErrOldOwner
+// if the request must not be sent. If logOut is set, the log is unreachable and the key is
+// recorded.
 func (r *Register) Send(now time.Time, k SliceKey, epoch Epoch, key KeyID, logOut bool) error {
 	if epoch < r.floor[k] {
 		return ErrOldOwner{Have: epoch, Floor: r.floor[k]}
@@ -54,10 +55,10 @@
 	return nil
 }
 
-// Raise notes an owner's epoch.
+// Raise sets the lowest valid epoch of a slice, unless it is higher already.
 func (r *Register) Raise(k SliceKey, epoch Epoch) { r.floor[k] = max(r.floor[k], epoch) }
 
-// Floors returns the lowest valid epochs, for a router that has just started.
+// Floors returns the lowest valid epochs for a router that has just started.
 func (r *Register) Floors() map[SliceKey]Epoch {
 	out := make(map[SliceKey]Epoch, len(r.floor))
 	for k, e := range r.floor {
@@ -66,8 +67,8 @@
 	return out
 }
 
-// Settle returns the keys of a slice that were sent without the log, and promises that nothing
-// more goes to an owner before epoch.
+// Settle returns the keys of a slice that were sent without the log. From then on, no request is
+// sent to an owner with a lower epoch.
 func (r *Register) Settle(now time.Time, k SliceKey, epoch Epoch) []KeyID {
 	r.Raise(k, epoch)
 	var keys []KeyID
@@ -81,7 +82,7 @@
 	return keys
 }
 
-// Empty reports whether no key that still lives was sent without the log.
+// Empty reports whether there is no unexpired key that was sent without the log.
 func (r *Register) Empty(now time.Time) bool {
 	for _, keys := range r.sent {
 		for _, at := range keys {
--- a/services/once/run.go
+++ b/services/once/run.go
@@ -10,14 +10,14 @@
 	"fawnwinch.org/fawnwinch/models/request"
 )
 
-// Withdraw ends the wait of an attempt whose time is over. It reports whether the key may
-// still run, or has run, for another attempt; if not, the attempt has not run and will not.
+// Withdraw ends the wait of an attempt whose deadline has passed. It reports whether the key may
+// have run or may still run for another attempt; if not, the attempt has not run and never will.
 func (c *Core) Withdraw(key KeyID, t Token) (mayRun bool) {
 	e, ok := c.entries[key]
 	if !ok {
 		return false
 	}
-	asked, hasAsked := e.leave(t)
+	asked, hasAsked := e.removeWaiter(t)
 	if e.state == StateRunning || e.state == StateDone || e.state == StateForeign {
 		return true
 	}
@@ -25,36 +25,37 @@
 		e.runner = 0
 		c.promote(e)
 	}
-	if e.runner == 0 && !e.wanted() {
+	if e.runner == 0 && !e.hasRunWaiter() {
 		if hasAsked {
 			c.forbidden[asked.request] = asked.deadline.Add(c.cfg.Lifetime)
 		}
 		c.refuse(e, ReasonForbidden)
-		c.settleIdle(e)
+		c.releaseIdle(e)
 		return false
 	}
 	return true
 }
 
-// leave takes a waiter out, and returns it if it was an asker.
-func (e *entry) leave(t Token) (waiter, bool) {
+// removeWaiter removes a waiter and returns it, and whether it only asks for the result of an
+// earlier attempt.
+func (e *entry) removeWaiter(t Token) (waiter, bool) {
 	i := slices.IndexFunc(e.waiting, func(w waiter) bool { return w.token == t })
 	if i < 0 {
 		return waiter{}, false
 	}
 	w := e.waiting[i]
 	e.waiting = slices.Delete(e.waiting, i, i+1)
-	return w, w.ask
+	return w, w.askOnly
 }
 
-// wanted reports whether an attempt waits to run the key.
-func (e *entry) wanted() bool {
-	return slices.ContainsFunc(e.waiting, func(w waiter) bool { return !w.ask })
+// hasRunWaiter reports whether any attempt waits to run the key.
+func (e *entry) hasRunWaiter() bool {
+	return slices.ContainsFunc(e.waiting, func(w waiter) bool { return !w.askOnly })
 }
 
-// promote starts the next attempt that wants to run a claimed key.
+// promote starts the next attempt that waits to run a claimed key.
 func (c *Core) promote(e *entry) {
-	i := slices.IndexFunc(e.waiting, func(w waiter) bool { return !w.ask })
+	i := slices.IndexFunc(e.waiting, func(w waiter) bool { return !w.askOnly })
 	if e.runner != 0 || i < 0 || !e.journaled {
 		return
 	}
@@ -63,8 +64,8 @@
 	c.actions = append(c.actions, Action{Kind: ActionStart, Token: e.runner})
 }
 
-// Begin is asked just before the effect: it reports whether the attempt may run now.
-// After false the attempt has not run and will not.
+// Begin must be called just before an attempt runs: it reports whether the attempt may run now.
+// If not, the attempt has not run and never will.
 func (c *Core) Begin(now time.Time, a Attempt) bool {
 	e, ok := c.entries[a.Key]
 	if !ok || e.runner != a.Token || e.state != StatePending {
@@ -80,7 +81,7 @@
 	return true
 }
 
-// Finish records how a running attempt ended. A not-run answer frees the key for another attempt.
+// Finish records the result of a running attempt. After a not-run answer another attempt may run.
 func (c *Core) Finish(now time.Time, key KeyID, answer Answer) {
 	e, ok := c.entries[key]
 	if !ok || e.state != StateRunning {
@@ -93,7 +94,7 @@
 		c.promote(e)
 		if e.runner == 0 {
 			c.refuse(e, answer.Reason)
-			c.settleIdle(e)
+			c.releaseIdle(e)
 		}
 		return
 	}
--- a/services/once/service.go
+++ b/services/once/service.go
@@ -19,27 +19,28 @@
 const (
 	// pollWait is how long one read of the journal waits for new records.
 	pollWait = time.Second
-	// callTimeout bounds one call of the log beyond its wait.
+	// callTimeout bounds one call to the log, in addition to its wait.
 	callTimeout = 3 * time.Second
-	// retryMin and retryMax bound the pause after a failed call.
-	retryMin = 50 * time.Millisecond
-	retryMax = time.Second
-	// runTimeout bounds how long an upstream may work on a request that may not be repeated.
+	// minRetryDelay and maxRetryDelay bound the pause after a failed call.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = time.Second
+	// runTimeout bounds the time an upstream has for a request that must not be repeated.
 	runTimeout = 60 * time.Second
 )
 
-// Directory tells what the agent knows of the processes around it.
+// Directory lists the processes that the agent knows of.
 type Directory interface {
-	// Members returns the agents of the service, this one included, and whether the list is complete enough to act on.
+	// Members returns the agents of the service, including this one, and whether the list is
+	// complete enough to act on.
 	Members(now time.Time) ([]Member, bool)
 }
 
-// Peers asks other processes.
+// Peers sends requests to other processes.
 type Peers interface {
 	// Handover asks the owner of a slice for its table.
 	Handover(ctx context.Context, owner Owner, s request.Slice) (Table, error)
-	// Settle asks every router for the keys it sent without the log. Complete is false if one that
-	// may have sent some could not be asked.
+	// Settle asks every router for the keys it sent without the log. complete is false if a router
+	// that may have sent some could not be asked.
 	Settle(ctx context.Context, s request.Slice, epoch Epoch) (keys []KeyID, complete bool)
 }
 
@@ -56,15 +57,15 @@
 	ring      *timeline.Ring
 	logger    zerolog.Logger
 
-	mu      sync.Mutex
-	core    *Core
-	waiters map[Token]chan Action
-	last    Token
-	wake    chan struct{}
-	running sync.WaitGroup
+	mu        sync.Mutex
+	core      *Core
+	waiters   map[Token]chan Action
+	lastToken Token
+	wake      chan struct{}
+	running   sync.WaitGroup
 }
 
-// Options holds what a Service needs besides its core.
+// Options holds the dependencies and settings of a Service.
 type Options struct {
 	Log       services.Log
 	Stream    services.Stream
@@ -90,7 +91,7 @@
 	var w sync.WaitGroup
 	w.Go(func() { s.readLoop(ctx) })
 	w.Go(func() { s.writeLoop(ctx) })
-	w.Go(func() { s.ownLoop(ctx) })
+	w.Go(func() { s.ownershipLoop(ctx) })
 	w.Wait()
 	s.running.Wait()
 }
@@ -102,25 +103,25 @@
 	return s.core.Owned()
 }
 
-// Do carries an attempt to its answer. The function run sends the request to the upstream; it is
-// called at most once for a key, and goes on when ctx ends, so that its answer is kept.
+// Do returns the answer of an attempt. The function run sends the request to the upstream. It is
+// called at most once for a key, and continues after ctx ends so that its answer is kept.
 func (s *Service) Do(ctx context.Context, a Attempt, run func(context.Context) Answer) Answer {
 	s.mu.Lock()
-	s.last++
-	a.Token = s.last
+	s.lastToken++
+	a.Token = s.lastToken
 	ch := make(chan Action, 2)
 	s.waiters[a.Token] = ch
 	d := s.core.Submit(clock.Now(), a)
 	s.dispatch()
 	s.mu.Unlock()
-	defer s.forget(a.Token)
+	defer s.removeWaiter(a.Token)
 	switch d.Kind {
 	case DecisionAnswer:
 		return d.Answer
 	case DecisionRun:
 		return s.start(ctx, a, run)
 	case DecisionWait:
-		s.nudge()
+		s.wakeWriter()
 	}
 	return s.wait(ctx, a, ch, run)
 }
@@ -151,7 +152,7 @@
 	return notRun(ReasonDeadline).Answer
 }
 
-// start runs an attempt that was chosen, and waits for it until the caller's time is over.
+// start runs an attempt and waits for it until the caller's deadline.
 func (s *Service) start(ctx context.Context, a Attempt, run func(context.Context) Answer) Answer {
 	s.mu.Lock()
 	ok := s.core.Begin(clock.Now(), a)
@@ -182,13 +183,13 @@
 	return unknown(ReasonRunning).Answer
 }
 
-func (s *Service) forget(t Token) {
+func (s *Service) removeWaiter(t Token) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.waiters, t)
 }
 
-// dispatch hands the core's actions to those who wait. The caller holds the lock.
+// dispatch sends the core's actions to the waiting attempts. The caller must hold the lock.
 func (s *Service) dispatch() {
 	for _, act := range s.core.Actions() {
 		if ch, ok := s.waiters[act.Token]; ok {
@@ -200,8 +201,8 @@
 	}
 }
 
-// nudge wakes the writer.
-func (s *Service) nudge() {
+// wakeWriter wakes the write loop.
+func (s *Service) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
--- a/services/once/sight_test.go
+++ b/services/once/sight_test.go
@@ -13,13 +13,13 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// shortLog is a journal that drops its oldest records.
-type shortLog struct {
+// trimmedLog is a journal that can drop its oldest records.
+type trimmedLog struct {
 	records []services.LogRecord
 	tail    services.Offset
 }
 
-func (l *shortLog) append(t *testing.T, now time.Time, rec *Record) {
+func (l *trimmedLog) append(t *testing.T, now time.Time, rec *Record) {
 	t.Helper()
 	raw, err := rec.Encode()
 	if err != nil {
@@ -29,10 +29,10 @@
 	l.tail++
 }
 
-// drop forgets all records but the newest n.
-func (l *shortLog) drop(n int) { l.records = l.records[len(l.records)-n:] }
+// keepNewest removes all records except the newest n.
+func (l *trimmedLog) keepNewest(n int) { l.records = l.records[len(l.records)-n:] }
 
-func (l *shortLog) read(c *Core, now time.Time) {
+func (l *trimmedLog) read(c *Core, now time.Time) {
 	p := services.Page{First: l.tail, Tail: l.tail, Now: now, Records: l.records}
 	if len(l.records) > 0 {
 		p.First = l.records[0].Offset
@@ -40,81 +40,82 @@
 	c.Apply(now, p)
 }
 
-// sightOwner is an agent of the tests about owners that lose sight of the journal.
-func sightOwner(id upstream.ID) Owner {
+// testOwner returns the owner with the given upstream ID.
+func testOwner(id upstream.ID) Owner {
 	return Owner{Upstream: id, Incarnation: upstream.Incarnation("of " + string(id))}
 }
 
-// TestOwnerLostSight replays a journal that was out of reach for longer than it keeps its records,
-// while the owner of all slices stood still.
+// TestOwnerLostSight covers a journal that is unreachable for longer than it keeps its records
+// while the owner of all slices is paused.
 //
-// The owner came back and found the record dropped by which it owned its slices, so it gave them up.
-// The others had read that record, heard the owner's heartbeats again, and went on asking it for its
-// tables, which it refused, three times a second and without an end: every request for these slices
-// was rejected until the owner was started anew. "handover refused: slice is not owned here" stood
-// 680 times in the log of each of two agents, and nothing was taken in 30 s.
+// When the owner resumes, the record that made it the owner has been dropped, so it drops its
+// ownership. The others have read that record and receive the owner's heartbeats again. They used
+// to request its tables three times a second without end, and it refused: every request for these
+// slices was rejected until the owner restarted. Each of two agents logged "handover refused: slice
+// is not owned here" 680 times, and no slice was taken in 30 s.
 func TestOwnerLostSight(t *testing.T) {
 	now := time.Unix(1000, 0)
-	sleeper, other := sightOwner("sleeper"), sightOwner("other")
+	paused, other := testOwner("sleeper"), testOwner("other")
 	cfg := Config{Lifetime: time.Minute, Capacity: 10, AnswerBytes: 1 << 10, OutageAfter: time.Second}
-	asleep, awake := NewCore(cfg, sleeper), NewCore(cfg, other)
-	log := &shortLog{}
-	log.read(asleep, now)
-	log.read(awake, now)
+	pausedCore, otherCore := NewCore(cfg, paused), NewCore(cfg, other)
+	log := &trimmedLog{}
+	log.read(pausedCore, now)
+	log.read(otherCore, now)
 	var all []request.Slice
 	for s := range request.Slice(Slices) {
 		all = append(all, s)
 	}
-	log.append(t, now, asleep.TakeRecord(all))
-	log.read(asleep, now)
-	log.read(awake, now)
+	log.append(t, now, pausedCore.TakeRecord(all))
+	log.read(pausedCore, now)
+	log.read(otherCore, now)
 
 	now = now.Add(2 * time.Minute)
 	for range 2 {
 		log.append(t, now, &Record{Version: recordVersion, Kind: RecordClaims, Owner: other})
-		log.read(awake, now)
+		log.read(otherCore, now)
 	}
-	log.drop(1)
-	log.read(asleep, now)
-	if n := len(asleep.Owned()); n != 0 {
+	log.keepNewest(1)
+	log.read(pausedCore, now)
+	if n := len(pausedCore.Owned()); n != 0 {
 		t.Fatalf("owner whose take was dropped unread by it owns %d slices, want none", n)
 	}
 
-	members := []Member{{Owner: sleeper, State: upstream.StateReady}, {Owner: other, State: upstream.StateReady}}
-	moves := Decide(now, other, awake.View(), members, time.Hour)
-	asked := moves.Ask[sleeper]
+	members := []Member{{Owner: paused, State: upstream.StateReady}, {Owner: other, State: upstream.StateReady}}
+	moves := Decide(now, other, otherCore.View(), members, time.Hour)
+	asked := moves.Ask[paused]
 	if len(asked) == 0 {
 		t.Fatal("nothing asked of the owner that the journal names")
 	}
 	for _, s := range asked {
-		table, err := asleep.Handover(now, s)
+		table, err := pausedCore.Handover(now, s)
 		if err != nil {
 			t.Fatalf("slice %d: %v, want word that its owner knows no table", s, err)
 		}
-		awake.Receive(table)
+		otherCore.Receive(table)
 	}
-	log.append(t, now, awake.TakeRecord(asked))
-	log.read(asleep, now)
-	log.read(awake, now)
-	for _, v := range awake.View() {
+	log.append(t, now, otherCore.TakeRecord(asked))
+	log.read(pausedCore, now)
+	log.read(otherCore, now)
+	for _, v := range otherCore.View() {
 		if v.Mine && v.Settled {
 			t.Errorf("slice %d: taken from an owner without a table and held for settled", v.Slice)
 		}
 	}
-	if n := len(awake.Owned()); n != len(asked) {
+	if n := len(otherCore.Owned()); n != len(asked) {
 		t.Errorf("took %d slices, want the %d asked for", n, len(asked))
 	}
 }
 
-// TestHandoverRefused checks that whoever asks for a table is told why there is none: owners are to be told apart that are not one,
-// wait for a router, and have lost sight of the journal.
+// TestHandoverRefused checks that a refused handover reports its reason: the asked agent does not
+// own the slice, or the slice is not settled yet. TestOwnerLostSight covers an agent that missed
+// records.
 func TestHandoverRefused(t *testing.T) {
 	now := time.Unix(1000, 0)
 	mine, other := request.Slice(1), request.Slice(2)
-	c := NewCore(Config{Lifetime: time.Minute, Capacity: 10, AnswerBytes: 1 << 10}, sightOwner("asked"))
-	log := &shortLog{}
+	c := NewCore(Config{Lifetime: time.Minute, Capacity: 10, AnswerBytes: 1 << 10}, testOwner("asked"))
+	log := &trimmedLog{}
 	log.read(c, now)
-	foreign := NewCore(Config{Lifetime: time.Minute, Capacity: 10, AnswerBytes: 1 << 10}, sightOwner("other"))
+	foreign := NewCore(Config{Lifetime: time.Minute, Capacity: 10, AnswerBytes: 1 << 10}, testOwner("other"))
 	log.read(foreign, now)
 	log.append(t, now, foreign.TakeRecord([]request.Slice{mine, other}))
 	log.read(c, now)
--- a/services/once/submit.go
+++ b/services/once/submit.go
@@ -9,48 +9,50 @@
 	"fawnwinch.org/fawnwinch/models/request"
 )
 
-// Attempt is one arrival of a request that may not be repeated.
+// Attempt is one arrival of a request that must not be repeated.
 type Attempt struct {
 	Token   Token
 	Request request.ID
 	Key     KeyID
 	Slice   request.Slice
-	// Epoch is the owner's epoch that the router knew when it sent the attempt. An attempt that was
-	// meant for another epoch is refused, however late it comes.
+	// Epoch is the owner's epoch that the router knew when it sent the attempt. An attempt for
+	// another epoch is refused, however late it arrives.
 	Epoch    Epoch
 	Digest   request.Digest
 	Deadline time.Time
-	// AskOnly says that the key must not run for this attempt: it asks what became of an earlier one.
+	// AskOnly reports whether this attempt must not run and only asks for the result of an earlier
+	// one.
 	AskOnly bool
-	// RouterLogAge is how long the log has been out of the router's reach.
+	// RouterLogAge is the time since the router could last reach the log.
 	RouterLogAge time.Duration
 }
 
-// DecisionKind tells what becomes of an attempt.
+// DecisionKind is the kind of a Decision.
 type DecisionKind string
 
 // The kinds of decision.
 const (
 	// DecisionWait means that an Action for the attempt follows.
 	DecisionWait DecisionKind = "wait"
-	// DecisionRun means that the attempt calls Begin and runs at once.
+	// DecisionRun means that the attempt must call Begin and run at once.
 	DecisionRun DecisionKind = "run"
 	// DecisionAnswer means that the answer is final.
 	DecisionAnswer DecisionKind = "answer"
 )
 
-// Decision is the first reply to an attempt.
+// Decision is the first result of an attempt.
 type Decision struct {
 	Kind   DecisionKind
 	Answer Answer
 }
 
-// Reasons that callers see.
+// Reasons returned to callers.
 const (
 	ReasonNotOwner  = "not-owner"
 	ReasonMoving    = "moving"
 	ReasonNoJournal = "journal-unreachable"
-	// ReasonJournalWait means that the log is out but the router has not seen so for long enough.
+	// ReasonJournalWait means that the log is unreachable, but not yet for long enough from the
+	// router.
 	ReasonJournalWait = "journal-waiting"
 	ReasonFull        = "table-full"
 	ReasonKeyReused   = "key-reused"
@@ -70,7 +72,7 @@
 	return Decision{Kind: DecisionAnswer, Answer: Answer{Outcome: request.OutcomeUnknown, Reason: reason}}
 }
 
-// Submit decides about an attempt on arrival.
+// Submit decides on an arriving attempt.
 func (c *Core) Submit(now time.Time, a Attempt) Decision {
 	sl := &c.slices[a.Slice]
 	if sl.owner != c.self || sl.epoch != a.Epoch || !sl.known || !c.CaughtUp() {
@@ -88,13 +90,13 @@
 		ok = false
 	}
 	if ok {
-		return c.again(now, a, e)
+		return c.submitKnown(now, a, e)
 	}
-	return c.fresh(now, a, sl)
+	return c.submitNew(now, a, sl)
 }
 
-// fresh decides about a key that is not in the table.
-func (c *Core) fresh(now time.Time, a Attempt, sl *sliceState) Decision {
+// submitNew decides on a key that is not in the table.
+func (c *Core) submitNew(now time.Time, a Attempt, sl *sliceState) Decision {
 	if !sl.settled {
 		return unknown(ReasonUnsettled)
 	}
@@ -109,9 +111,9 @@
 		return notRun(ReasonFull)
 	}
 	e := &entry{key: a.Key, slice: a.Slice, epoch: sl.epoch, state: StatePending, digest: a.Digest, at: now}
-	if c.journalLost(now) {
+	if c.journalUnreachable(now) {
 		if !c.mayRunUnjournaled(a) {
-			return notRun(c.noJournal())
+			return notRun(c.noJournalReason())
 		}
 		e.runner = a.Token
 		c.entries[a.Key] = e
@@ -124,52 +126,54 @@
 	return Decision{Kind: DecisionWait}
 }
 
-// mayRunUnjournaled reports whether the router of an attempt lacks the log as well. A router that
-// has the log knows a newer owner; one that has not keeps a register of what it sent meanwhile.
+// mayRunUnjournaled reports whether the router of an attempt cannot reach the log either. A router
+// that reaches the log knows a newer owner; one that does not registers the keys it sends
+// meanwhile.
 func (c *Core) mayRunUnjournaled(a Attempt) bool {
 	return c.cfg.OutageAfter > 0 && a.RouterLogAge > c.cfg.OutageAfter
 }
 
-// noJournal says whether a request without a journal may soon be let through, or is refused for good.
-func (c *Core) noJournal() string {
+// noJournalReason returns the reason for a refusal without a journal: the request may be accepted
+// later, or not at all.
+func (c *Core) noJournalReason() string {
 	if c.cfg.OutageAfter == 0 {
 		return ReasonNoJournal
 	}
 	return ReasonJournalWait
 }
 
-// Tick refuses what waits for a journal that is out of reach. A claim that is on its way may still
-// be read later; its key then stands as not run.
+// Tick refuses the attempts that wait for an unreachable journal. A claim in flight may still be
+// read later; its key then counts as not run.
 func (c *Core) Tick(now time.Time) {
-	if !c.journalLost(now) {
+	if !c.journalUnreachable(now) {
 		return
 	}
 	for _, e := range c.entries {
 		if e.state == StatePending && e.runner == 0 && !e.journaled && len(e.waiting) > 0 {
-			c.refuse(e, c.noJournal())
-			c.settleIdle(e)
+			c.refuse(e, c.noJournalReason())
+			c.releaseIdle(e)
 		}
 	}
 }
 
 func (e *entry) wait(a Attempt) {
-	e.waiting = append(e.waiting, waiter{token: a.Token, request: a.Request, deadline: a.Deadline, ask: a.AskOnly})
+	e.waiting = append(e.waiting, waiter{token: a.Token, request: a.Request, deadline: a.Deadline, askOnly: a.AskOnly})
 }
 
-// journalLost reports whether the log has been out of reach for so long that waiting for it is no use.
-func (c *Core) journalLost(now time.Time) bool {
+// journalUnreachable reports whether the log has been unreachable for too long to wait for it.
+func (c *Core) journalUnreachable(now time.Time) bool {
 	limit := c.cfg.OutageAfter
 	if limit == 0 {
-		limit = defaultJournalPatience
+		limit = defaultJournalTimeout
 	}
-	return now.Sub(c.contact) > limit
+	return now.Sub(c.lastContact) > limit
 }
 
-// defaultJournalPatience is how long claims wait for the log where running without it is switched off.
-const defaultJournalPatience = 5 * time.Second
+// defaultJournalTimeout is how long claims wait for the log if running without it is disabled.
+const defaultJournalTimeout = 5 * time.Second
 
-// again decides about a key that is in the table.
-func (c *Core) again(now time.Time, a Attempt, e *entry) Decision {
+// submitKnown decides on a key that is in the table.
+func (c *Core) submitKnown(now time.Time, a Attempt, e *entry) Decision {
 	if e.state != StateForeign && e.digest != a.Digest {
 		return notRun(ReasonKeyReused)
 	}
@@ -182,17 +186,17 @@
 		e.wait(a)
 		return Decision{Kind: DecisionWait}
 	case StateIdle:
-		return c.revive(a, e)
+		return c.runIdle(a, e)
 	case StatePending:
 	}
 	if a.AskOnly {
-		return c.askPending(a, e)
+		return c.cancelPending(a, e)
 	}
 	if c.slices[e.slice].frozen && !e.busy() {
-		// The table was handed over with this key as not run: it is the next owner's now.
+		// The table was handed over with this key as not run: it belongs to the next owner now.
 		return notRun(ReasonMoving)
 	}
-	if e.runner == 0 && c.journalLost(now) && c.mayRunUnjournaled(a) {
+	if e.runner == 0 && c.journalUnreachable(now) && c.mayRunUnjournaled(a) {
 		e.runner = a.Token
 		return Decision{Kind: DecisionRun}
 	}
@@ -200,8 +204,8 @@
 	return Decision{Kind: DecisionWait}
 }
 
-// revive runs a claimed key that has not run.
-func (c *Core) revive(a Attempt, e *entry) Decision {
+// runIdle runs a claimed key that has not run.
+func (c *Core) runIdle(a Attempt, e *entry) Decision {
 	if a.AskOnly {
 		c.forbid(a)
 		return notRun(ReasonForbidden)
@@ -217,9 +221,9 @@
 	return Decision{Kind: DecisionRun}
 }
 
-// askPending takes back the attempts of the asker's request. If another request wants the key too,
-// or the key is about to run, the asker waits for the result.
-func (c *Core) askPending(a Attempt, e *entry) Decision {
+// cancelPending cancels the waiting attempts of the asker's request. If another request waits for
+// the key too, or the key is about to run, the asker waits for the result.
+func (c *Core) cancelPending(a Attempt, e *entry) Decision {
 	alone := e.runner == 0
 	for _, w := range e.waiting {
 		alone = alone && w.request == a.Request
@@ -230,15 +234,15 @@
 	}
 	c.forbid(a)
 	c.refuse(e, ReasonForbidden)
-	c.settleIdle(e)
+	c.releaseIdle(e)
 	return notRun(ReasonForbidden)
 }
 
-// refuse tells all who wait for a key that it has not run. An asker's own first attempt may still
-// be on its way, so it is forbidden.
+// refuse answers all attempts that wait for a key with not-run. The first attempt of an asker may
+// still be in flight, so its request is forbidden.
 func (c *Core) refuse(e *entry, reason string) {
 	for _, w := range e.waiting {
-		if w.ask {
+		if w.askOnly {
 			c.forbidden[w.request] = w.deadline.Add(c.cfg.Lifetime)
 		}
 		c.actions = append(c.actions, Action{Kind: ActionResolve, Token: w.token, Answer: notRun(reason).Answer})
@@ -248,8 +252,10 @@
 
 func (c *Core) forbid(a Attempt) { c.forbidden[a.Request] = a.Deadline.Add(c.cfg.Lifetime) }
 
-// settleIdle parks a key that nobody waits for: a journaled claim stays, an unsent one goes.
-func (c *Core) settleIdle(e *entry) {
+// releaseIdle handles a key that no attempt waits for. It is removed if its claim is unsent, and
+// becomes idle if its claim is in the journal. While the claim is in flight, it stays unless the
+// epoch has changed.
+func (c *Core) releaseIdle(e *entry) {
 	e.runner = 0
 	for i, k := range c.unsent {
 		if k == e.key {
