--- a/services/protocol.go
+++ b/services/protocol.go
@@ -15,73 +15,77 @@
 	"fawnwinch.org/fawnwinch/services/condition"
 )
 
-// CallerMeta is what the head of a caller's request tells a router.
+// CallerMeta holds what a router reads from the header of a caller's request.
 type CallerMeta struct {
 	ID request.ID
-	// Patience is how long the caller waits; 0 if it does not say.
+	// Patience is the caller's timeout; 0 if it is not given.
 	Patience time.Duration
 	Key      catalog.Key
-	// PromptTokens is the size of the prompt; 0 if the caller does not say.
+	// PromptTokens is the size of the prompt; 0 if it is not given.
 	PromptTokens int
-	// AnswerTokens is the caller's guess at the size of the answer; 0 if it does not say.
+	// AnswerTokens is the caller's estimate of the size of the answer; 0 if it is not given.
 	AnswerTokens int
-	// LastEvent is the id of the latest event that the caller has of a stream it wants to go on with.
+	// LastEvent is the ID of the last event that the caller received of a stream it wants to
+	// resume.
 	LastEvent string
 }
 
-// Outgoing is what a router adds to a request for an upstream.
+// Outgoing holds what a router adds to a request to an upstream.
 type Outgoing struct {
 	Upstream upstream.ID
 	Account  account.ID
-	// Left is the time in which the caller still wants the answer.
+	// Left is the time left until the caller's deadline.
 	Left time.Duration
-	// LastEvent is the latest event that the caller has of a stream, or empty.
+	// LastEvent is the ID of the last event that the caller received of a stream, or empty.
 	LastEvent string
-	// Urgency orders the requests that wait at an upstream; the smallest goes first.
+	// Urgency orders the requests that wait at an upstream; the smallest value is first.
 	Urgency int
 }
 
-// Execution tells whether an upstream has run a request that it answered.
+// Execution reports whether an upstream has run a request that it answered.
 type Execution string
 
 // The kinds of execution.
 const (
-	// ExecutionDone says that the request ran and this is its answer.
+	// ExecutionDone means that the request ran and this is its answer.
 	ExecutionDone Execution = "done"
-	// ExecutionFailed says that the request ran and failed.
+	// ExecutionFailed means that the request ran and failed.
 	ExecutionFailed Execution = "failed"
-	// ExecutionNone says that the request did not run: the upstream is full or leaving.
+	// ExecutionNone means that the request did not run: the upstream is full or leaving.
 	ExecutionNone Execution = "none"
-	// ExecutionStranger says that another upstream has the address; the request did not run.
+	// ExecutionStranger means that the request was misdirected: another upstream has the address,
+	// and the request did not run.
 	ExecutionStranger Execution = "stranger"
 )
 
-// UpstreamAnswer is what the head of an upstream's answer tells a router.
+// UpstreamAnswer holds what a router reads from the header of an upstream's answer.
 type UpstreamAnswer struct {
-	// ID is the request that is answered; empty if the upstream does not say.
+	// ID is the request that is answered; empty if it is not given.
 	ID        request.ID
 	Execution Execution
-	// Notice is what the upstream says of itself. In an answer of ExecutionStranger it is of another upstream than was asked.
+	// Notice is the upstream's report of its own state. With ExecutionStranger it is from a
+	// different upstream than the addressed one.
 	Notice upstream.Notice
 }
 
-// CallerProtocol translates the heads of requests and answers.
+// CallerProtocol translates the headers of requests and answers.
 type CallerProtocol interface {
-	// Describe reads the head of a caller's request.
+	// Describe reads the header of a caller's request.
 	Describe(h http.Header) CallerMeta
 	// Outgoing returns the header for an upstream.
 	Outgoing(h http.Header, o Outgoing) http.Header
-	// Answer reads the head of an upstream's answer.
+	// Answer reads the status and header of an upstream's answer.
 	Answer(status int, h http.Header) UpstreamAnswer
 	// Returned returns the header for the caller.
 	Returned(h http.Header) http.Header
-	// Refusal returns the header of an answer of the router's own. After is the time in which the caller
-	// may come back, or 0.
+	// Refusal returns the header of an answer from the router itself. after is the time after which
+	// the caller may retry, or 0.
 	Refusal(id request.ID, after time.Duration) http.Header
 }
 
-// Permits gives permits to send requests to upstreams that limit what they take from all routers together.
+// Permits grants permits to send requests to upstreams that limit the requests from all routers
+// together.
 type Permits interface {
-	// Ask asks for permits. After an error none were given.
+	// Ask requests permits. If it returns an error, none were granted.
 	Ask(ctx context.Context, now time.Time, ask condition.Ask) (condition.Reply, error)
 }
--- a/services/services.go
+++ b/services/services.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package services holds the interfaces behind which everything outside fawnwinch stands.
-// The packages below it decide; none of them knows an adapter.
+// Package services defines the interfaces to all systems outside fawnwinch.
+// The packages below it make the decisions and do not depend on any adapter.
 package services
 
 import (
@@ -17,10 +17,10 @@
 	"fawnwinch.org/fawnwinch/models/vm"
 )
 
-// Offset is the place of a record in a stream of the platform's log, from 0.
+// Offset is the position of a record in a stream of the platform's log, from 0.
 type Offset uint64
 
-// Stream names a stream of the platform's log.
+// Stream is the name of a stream of the platform's log.
 type Stream string
 
 // LogRecord is one record of a stream.
@@ -31,13 +31,13 @@
 	Data []byte    `json:"data"`
 }
 
-// Page is the answer to a read.
+// Page is the result of a read.
 type Page struct {
-	// First is the oldest offset the log still keeps, or Tail if it keeps none.
+	// First is the oldest offset that the log still keeps, or Tail if it keeps none.
 	First Offset `json:"first"`
 	// Tail is the offset that the next append gets.
 	Tail Offset `json:"tail"`
-	// Now is the log service's present time.
+	// Now is the log service's current time.
 	Now     time.Time   `json:"now"`
 	Records []LogRecord `json:"records"`
 }
@@ -46,29 +46,30 @@
 type Log interface {
 	// Append adds a record. After an error the record may or may not have been added.
 	Append(ctx context.Context, s Stream, data []byte) (Offset, error)
-	// Read returns records from an offset on, and waits up to wait if there are none yet.
+	// Read returns the records from an offset on. If there are none yet, it waits up to wait.
 	Read(ctx context.Context, s Stream, from Offset, wait time.Duration) (Page, error)
 }
 
-// Change is one change of a feed: the newest value under a key, or nil if the key is gone.
+// Change is one change of a feed: the newest value of a key, or nil if the key was removed.
 type Change[T any] struct {
 	Key   string
 	Value *T
-	// At is the place of the change in its stream.
+	// At is the position of the change in its stream.
 	At Place
 }
 
-// Era counts how often the platform's store has come back from a copy. What was written between the copy and the return is gone then, and
-// the same offsets are given out again.
+// Era counts how often the platform's store has been restored from a backup. A restore loses the
+// records written after the backup, and their offsets are assigned again.
 type Era uint64
 
-// Place is a place in a stream of the platform's store. Offsets of different eras say nothing of each other.
+// Place is a position in a stream of the platform's store. Offsets of different eras are unrelated.
 type Place struct {
 	Era    Era
 	Offset Offset
 }
 
-// Compare returns -1, 0 or 1 as p is before o, the same or after it. All places of an era are before those of the next.
+// Compare returns -1, 0 or 1 if p is before o, equal to it or after it. All positions of an era are
+// before those of the next.
 func (p Place) Compare(o Place) int {
 	return cmp.Or(cmp.Compare(p.Era, o.Era), cmp.Compare(p.Offset, o.Offset))
 }
@@ -76,7 +77,7 @@
 // Before reports whether p is before o.
 func (p Place) Before(o Place) bool { return p.Compare(o) < 0 }
 
-// After returns the place so many records after p.
+// After returns the position the given number of records after p.
 func (p Place) After(records int) Place {
 	return Place{Era: p.Era, Offset: p.Offset + Offset(records)} //nolint:gosec // a number of records is not negative
 }
@@ -85,27 +86,28 @@
 
 // Feed is a stream of the platform's store that keeps the newest value of each key.
 type Feed[T any] interface {
-	// Snapshot returns the newest values and the place from which Changes goes on.
+	// Snapshot returns the newest values and the position from which Changes continues.
 	Snapshot(ctx context.Context) ([]Change[T], Place, error)
-	// Changes returns what has changed from a place on, and the next place. It waits up to wait if
-	// there is nothing yet. It returns an ErrTrimmed if changes in between are no longer kept, and an
-	// ErrReturned if the place is not of the store's present era.
+	// Changes returns the changes from a position on, and the next position. If there are none yet,
+	// it waits up to wait. It returns an ErrTrimmed if some of the changes are no longer kept, and
+	// an ErrReturned if the position is not from the store's current era.
 	Changes(ctx context.Context, from Place, wait time.Duration) ([]Change[T], Place, error)
 }
 
-// ErrTrimmed reports that the log no longer keeps the records asked for.
+// ErrTrimmed reports that the log no longer keeps the requested records.
 type ErrTrimmed struct{ From Place }
 
-func (e ErrTrimmed) Error() string { return fmt.Sprintf("records from place %s are gone", e.From) }
+func (e ErrTrimmed) Error() string { return fmt.Sprintf("position %s has been trimmed", e.From) }
 
-// ErrReturned reports that the store has come back from a copy, or did so before: it says nothing of a place of another era.
+// ErrReturned reports that a position is from another era: the store has been restored from a
+// backup in between.
 type ErrReturned struct {
 	From Place
 	Era  Era
 }
 
 func (e ErrReturned) Error() string {
-	return fmt.Sprintf("place %s is not of the store's era %d", e.From, e.Era)
+	return fmt.Sprintf("position %s is not from the store's era %d", e.From, e.Era)
 }
 
 // VMList is the platform's lagging list of VMs.
@@ -115,21 +117,22 @@
 
 // WeightStore is the platform's rate-limited store of model weights.
 type WeightStore interface {
-	// Fetch brings bytes of weights to an upstream and returns when they are there.
+	// Fetch transfers bytes of weights to an upstream and returns when the transfer is complete.
 	Fetch(ctx context.Context, u upstream.ID, bytes int64) error
 }
 
-// Fence numbers the authority behind an order; an engine that checks refuses lower ones.
+// Fence is the number of the authority behind an order. An engine that checks fences refuses orders
+// with a lower one.
 type Fence uint64
 
-// EngineState is what a model engine tells about its rank.
+// EngineState is the state that a model engine reports about its rank.
 type EngineState struct {
 	Rank group.Rank        `json:"rank"`
 	Step group.Step        `json:"step"`
 	Map  expertmap.Version `json:"map"`
-	// Staged is the version of the map whose weights are loaded beside those in use, or 0.
+	// Staged is the version of the map whose weights are loaded in addition to those in use, or 0.
 	Staged expertmap.Version `json:"staged"`
-	// Hold is the step the rank will not enter before a decision about HoldMap, or 0.
+	// Hold is the step that the rank does not enter before a decision about HoldMap, or 0.
 	Hold    group.Step        `json:"hold"`
 	HoldMap expertmap.Version `json:"hold_map"`
 	// SwitchAt is the step from which the rank uses SwitchMap, or 0.
@@ -139,24 +142,24 @@
 	Fence   Fence `json:"fence"`
 	Running int   `json:"running"`
 	Waiting int   `json:"waiting"`
-	// StepMicros is the mean duration of the latest steps, in microseconds.
+	// StepMicros is the mean duration of recent steps, in microseconds.
 	StepMicros int64 `json:"step_micros"`
-	// BusyMicros is the mean time the rank itself worked in a step, in microseconds.
+	// BusyMicros is the mean busy time of the rank itself per step, in microseconds.
 	BusyMicros int64 `json:"busy_micros"`
-	// Load is the expert load of the rank against the mean of its group; 1 is even.
+	// Load is the ratio of the rank's expert load to the mean of its group; 1 is balanced.
 	Load float64 `json:"load"`
 }
 
-// OrderKind tells what an engine shall do.
+// OrderKind is the kind of an order to an engine.
 type OrderKind string
 
 // The kinds of order.
 const (
-	// OrderFence raises the fence and does nothing else.
+	// OrderFence only raises the fence.
 	OrderFence OrderKind = "fence"
-	// OrderStage loads the weights a map needs beside those in use.
+	// OrderStage loads the weights that a map needs in addition to those in use.
 	OrderStage OrderKind = "stage"
-	// OrderHold keeps the rank from entering a step before a decision.
+	// OrderHold prevents the rank from entering a step before a decision.
 	OrderHold OrderKind = "hold"
 	// OrderSwitch uses a map from a step on and ends the hold.
 	OrderSwitch OrderKind = "switch"
@@ -176,13 +179,14 @@
 
 // Engine is one rank of a model engine.
 type Engine interface {
-	// State returns what the rank tells about itself.
+	// State returns the state that the rank reports.
 	State(ctx context.Context) (EngineState, error)
 	// Map returns the expert map in use.
 	Map(ctx context.Context) (*expertmap.Map, error)
-	// Popularity returns how many tokens each expert of each layer has had since the engine started.
+	// Popularity returns the number of tokens that each expert of each layer has received since the
+	// engine started.
 	Popularity(ctx context.Context) ([][]float64, error)
-	// Order gives a fenced order. An ErrRefused means that it was not carried out.
+	// Order sends a fenced order. An ErrRefused means that it was not executed.
 	Order(ctx context.Context, o Order) error
 }
 
@@ -191,7 +195,7 @@
 
 func (e ErrRefused) Error() string { return fmt.Sprintf("order refused: %s", e.Reason) }
 
-// ErrNotSent wraps a failure that happened before anything was sent: the action has not taken effect.
+// ErrNotSent wraps a failure that occurred before anything was sent: the action has had no effect.
 type ErrNotSent struct{ Err error }
 
 func (e ErrNotSent) Error() string { return "not sent: " + e.Err.Error() }
