--- a/services/expertswitch/explore_test.go
+++ b/services/expertswitch/explore_test.go
@@ -254,7 +254,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("the group does not step on: %+v", x.engines[0].state)
+	return fmt.Errorf("the group does not continue to step: %+v", x.engines[0].state)
 }
 
 func explore(seed uint64, naive bool) (*explorer, error) {
@@ -280,7 +280,7 @@
 		switched += x.switched
 	}
 	if switched < 3000 {
-		t.Errorf("only %d switches: the schedules show little", switched)
+		t.Errorf("only %d switches: the schedules cover too little", switched)
 	}
 	t.Logf("%d switches", switched)
 }
@@ -306,5 +306,5 @@
 			return
 		}
 	}
-	t.Error("no schedule broke ranks that obey everybody")
+	t.Error("no schedule detected ranks that obey every coordinator")
 }
--- a/services/mapswitch/explore_test.go
+++ b/services/mapswitch/explore_test.go
@@ -142,7 +142,7 @@
 		}
 		e.Holds, e.Held = true, o.Step
 	case services.RankAnnounce:
-		panic("an engine was told what is for its agent")
+		panic("announce order sent to an engine instead of its agent")
 	case services.RankRelease:
 		if !e.Holds || e.Held != o.Step {
 			return services.RankConflict
@@ -381,21 +381,21 @@
 			t.Fatalf("seed %d", seed)
 		}
 		if w.passes == 0 {
-			t.Errorf("seed %d: the group stood still", seed)
+			t.Errorf("seed %d: the group began no pass", seed)
 		}
 		passes, changes, abandoned = passes+w.passes, changes+w.changes/len(w.ranks), abandoned+w.abandoned
 		without += w.resolvedWithout
 	}
-	t.Logf("%d settlements without a frozen rank", without)
+	t.Logf("%d resolutions without a frozen rank", without)
 	if without < exploreSeeds/10 {
-		t.Errorf("only %d settlements without a frozen rank", without)
+		t.Errorf("only %d resolutions without a frozen rank", without)
 	}
-	t.Logf("%d passes, %d changes of map, %d given up", passes, changes, abandoned)
+	t.Logf("%d passes, %d changes of map, %d abandoned", passes, changes, abandoned)
 	if abandoned < exploreSeeds {
-		t.Errorf("only %d changes given up in %d worlds", abandoned, exploreSeeds)
+		t.Errorf("only %d changes abandoned in %d simulations", abandoned, exploreSeeds)
 	}
 	if changes < exploreSeeds {
-		t.Errorf("only %d changes of map in %d worlds", changes, exploreSeeds)
+		t.Errorf("only %d changes of map in %d simulations", changes, exploreSeeds)
 	}
 }
 
@@ -417,7 +417,7 @@
 		}
 	}
 	if broken == 0 {
-		t.Error("the naive way never broke")
+		t.Error("arming without a hold never led to two maps")
 	}
 }
 
--- a/services/mapswitch/machine.go
+++ b/services/mapswitch/machine.go
@@ -30,9 +30,9 @@
 
 // The stages, in order. A change that fails goes from StageArm to StageDisarm.
 const (
-	// StageSettleHold stops the group before a pass for which an earlier coordinator has armed
+	// StageResolveHold stops the group before a pass for which an earlier coordinator has armed
 	// ranks.
-	StageSettleHold Stage = "settle-hold"
+	StageResolveHold Stage = "settle-hold"
 	// StageFence raises the fence at all ranks after a takeover.
 	StageFence Stage = "fence"
 	// StagePrepareOwner has the owner begin to load. From then on it refuses older coordinators, so
@@ -235,7 +235,7 @@
 			return
 		}
 		m.enter(now, StageHold)
-	case StageSettleHold:
+	case StageResolveHold:
 		// The pass has begun, so no rank is still armed for it.
 		m.enter(now, StageFence)
 	case StageArm, StageAnnounce, StageArmOwner:
@@ -306,7 +306,7 @@
 	case StageHold:
 		m.release[m.holder], m.heldAt = m.step, now
 		m.enter(now, StageArm)
-	case StageSettleHold:
+	case StageResolveHold:
 		m.release[m.self] = m.step
 		m.enter(now, StageDisarm)
 	case StageArm:
--- a/services/mapswitch/send.go
+++ b/services/mapswitch/send.go
@@ -25,7 +25,7 @@
 	switch m.stage {
 	case StageHold:
 		return r == m.holder
-	case StageSettleHold:
+	case StageResolveHold:
 		return r == m.self
 	case StageAnnounce:
 		return r == m.holder && r != m.owner
@@ -68,7 +68,7 @@
 	switch m.stage {
 	case StagePrepareOwner, StagePrepare:
 		o.Kind, o.Layers = services.RankPrepare, m.layers
-	case StageHold, StageSettleHold:
+	case StageHold, StageResolveHold:
 		o.Kind = services.RankHold
 	case StageArm, StageArmOwner:
 		o.Kind = services.RankArm
--- a/services/mapswitch/settle.go
+++ b/services/mapswitch/settle.go
@@ -112,7 +112,7 @@
 	case held:
 		m.enter(now, StageDisarm)
 	default:
-		m.enter(now, StageSettleHold)
+		m.enter(now, StageResolveHold)
 	}
 }
 
--- a/services/once/explore_test.go
+++ b/services/once/explore_test.go
@@ -480,7 +480,7 @@
 	}
 	for id, reason := range x.notRun {
 		if x.ranFor[id] {
-			return fmt.Errorf("request %s was told not run (%s) and had an effect", id, reason)
+			return fmt.Errorf("request %s was answered not run (%s) but had an effect", id, reason)
 		}
 	}
 	return nil
@@ -507,7 +507,7 @@
 	}
 	t.Logf("%d keys ran", ran)
 	if ran < exploreSeeds {
-		t.Errorf("only %d keys ran: the schedules show little", ran)
+		t.Errorf("only %d keys ran: the schedules cover too little", ran)
 	}
 }
 
@@ -523,9 +523,9 @@
 		ran += len(x.effects)
 		lost += x.lostTables
 	}
-	t.Logf("%d keys ran, %d times an owner had lost sight", ran, lost)
+	t.Logf("%d keys ran, %d lost tables", ran, lost)
 	if ran < seeds || lost < minLostTables {
-		t.Errorf("%d keys ran, %d times an owner had lost sight: the schedules show little", ran, lost)
+		t.Errorf("%d keys ran, %d lost tables: the schedules cover too little", ran, lost)
 	}
 }
 
@@ -550,5 +550,5 @@
 			return
 		}
 	}
-	t.Error("no schedule broke the naive owner")
+	t.Error("no schedule detected the naive owner")
 }
--- a/services/once/sight_test.go
+++ b/services/once/sight_test.go
@@ -84,12 +84,12 @@
 	moves := Decide(now, other, otherCore.View(), members, time.Hour)
 	asked := moves.Ask[paused]
 	if len(asked) == 0 {
-		t.Fatal("nothing asked of the owner that the journal names")
+		t.Fatal("no table requested from the owner according to the journal")
 	}
 	for _, s := range asked {
 		table, err := pausedCore.Handover(now, s)
 		if err != nil {
-			t.Fatalf("slice %d: %v, want word that its owner knows no table", s, err)
+			t.Fatalf("slice %d: %v, want a table marked as lost", s, err)
 		}
 		otherCore.Receive(table)
 	}
@@ -98,11 +98,11 @@
 	log.read(otherCore, now)
 	for _, v := range otherCore.View() {
 		if v.Mine && v.Settled {
-			t.Errorf("slice %d: taken from an owner without a table and held for settled", v.Slice)
+			t.Errorf("slice %d: taken from an owner without a table but marked as settled", v.Slice)
 		}
 	}
 	if n := len(otherCore.Owned()); n != len(asked) {
-		t.Errorf("took %d slices, want the %d asked for", n, len(asked))
+		t.Errorf("took %d slices, want the %d requested", n, len(asked))
 	}
 }
 
--- a/services/placement/placement_test.go
+++ b/services/placement/placement_test.go
@@ -160,11 +160,11 @@
 		}
 		checkMap(t, s, r.Map)
 		if got := Moves(m, r.Map); got > r.Moves {
-			t.Fatalf("%d moves, told %d", got, r.Moves)
+			t.Fatalf("%d moves, reported %d", got, r.Moves)
 		}
 		after, _ := Skew(r.Map, p, speed)
 		if math.Abs(after-r.After) > 1e-6 || after > r.Before+1e-9 {
-			t.Fatalf("skew %f, told %f, before %f", after, r.After, r.Before)
+			t.Fatalf("skew %f, reported %f, before %f", after, r.After, r.Before)
 		}
 	})
 }
@@ -207,7 +207,7 @@
 				t.Fatal(err)
 			}
 			if math.Abs(naive.skew()-l.skew()) > 1e-9 || !slices.Equal(naive.replicas, l.replicas) {
-				t.Fatalf("skew %f, computed anew %f", l.skew(), naive.skew())
+				t.Fatalf("skew %f, recomputed %f", l.skew(), naive.skew())
 			}
 		}
 	})
--- a/services/placement/planner.go
+++ b/services/placement/planner.go
@@ -16,11 +16,11 @@
 
 // The reasons.
 const (
-	ReasonImprove  Reason = "improve"
-	ReasonRollback Reason = "rollback"
-	ReasonQuiet    Reason = "quiet-hours"
-	ReasonEnough   Reason = "not-worth-it"
-	ReasonNoData   Reason = "no-data"
+	ReasonImprove       Reason = "improve"
+	ReasonRollback      Reason = "rollback"
+	ReasonQuietHours    Reason = "quiet-hours"
+	ReasonNotWorthwhile Reason = "not-worth-it"
+	ReasonNoData        Reason = "no-data"
 )
 
 // Plan is the decision of a planner.
@@ -102,7 +102,7 @@
 		return back, nil
 	}
 	if inQuietHours(now, r) {
-		return Plan{Reason: ReasonQuiet}, nil
+		return Plan{Reason: ReasonQuietHours}, nil
 	}
 	res, err := Decide(m, p.popularity, speed, policy(m, r.Prefer), p.floors)
 	if err != nil {
@@ -111,7 +111,7 @@
 	p.floors = res.Floors
 	plan := Plan{Map: res.Map, Reason: ReasonImprove, Moves: res.Moves, Before: res.Before, After: res.After}
 	if res.Map == nil {
-		plan.Reason = ReasonEnough
+		plan.Reason = ReasonNotWorthwhile
 	}
 	return plan, nil
 }
--- a/services/placement/planner_test.go
+++ b/services/placement/planner_test.go
@@ -44,11 +44,11 @@
 		"skewed in quiet hours": {intent.Rebalance{Prefer: intent.PreferCost, QuietFrom: 11, QuietTo: 22}, func(p *Planner) {
 			p.Observe(noon, counts(s, 1, 0))
 			p.Observe(noon, counts(s, 1, 100))
-		}, ReasonQuiet},
+		}, ReasonQuietHours},
 		"quiet hours over midnight": {intent.Rebalance{Prefer: intent.PreferCost, QuietFrom: 22, QuietTo: 13}, func(p *Planner) {
 			p.Observe(noon, counts(s, 1, 0))
 			p.Observe(noon, counts(s, 1, 100))
-		}, ReasonQuiet},
+		}, ReasonQuietHours},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 	before, _ := Skew(first, p.Popularity(), uniform(s.ranks))
 	now, _ := Skew(plan.Map, p.Popularity(), uniform(s.ranks))
 	if now <= before+rollbackMargin {
-		t.Fatalf("the case shows nothing: skew %f, before %f", now, before)
+		t.Fatalf("test set-up has no effect: skew %f, before %f", now, before)
 	}
 	if err != nil || back.Reason != ReasonRollback || back.Map.Digest() != first.Digest() {
 		t.Errorf("plan %+v, %v; want the first map back", back, err)
