--- a/services/entry/api.go
+++ b/services/entry/api.go
@@ -64,7 +64,7 @@
 
 // Hello is what routers tell each other.
 type Hello struct {
-	Greeting peer.Greeting
+	Greeting peer.GossipMessage
 	// Catalogs and Upstreams tell how far the sender knows the two feeds of the store.
 	Catalogs, Upstreams Extent
 	// Marks tells how far the sender's knowledge has come that no feed holds.
--- a/services/entry/entry.go
+++ b/services/entry/entry.go
@@ -253,7 +253,7 @@
 	r.learn(func(now time.Time) {
 		self := r.table.Self()
 		self.State = s
-		r.table.Tell(now, self)
+		r.table.UpdateSelf(now, self)
 	})
 }
 
--- a/services/entry/greet.go
+++ b/services/entry/greet.go
@@ -103,7 +103,7 @@
 	self := r.table.Self()
 	self.StoreLost = r.catalogs.failing() || r.upstreams.failing()
 	self.Busy = r.busy(now, self)
-	r.table.Tell(now, self)
+	r.table.UpdateSelf(now, self)
 }
 
 // busy reports whether this process uses much of its processor time. The caller holds the lock.
@@ -175,7 +175,7 @@
 func (r *Router) silent(to peer.Target, err error) {
 	r.opts.Logger.Debug().Str("address", to.Address).Err(err).Msg("router-silent")
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		r.learn(func(now time.Time) { r.table.Failed(now, to.Name) })
+		r.learn(func(now time.Time) { r.table.ConnectionRefused(now, to.Name) })
 	}
 }
 
@@ -188,13 +188,13 @@
 	h.Marks = r.marks()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h.Greeting = r.table.Greeting(to)
+	h.Greeting = r.table.GossipFor(to)
 	return h
 }
 
 // heard takes in what another router says, and returns its address; empty if that is not known yet.
 func (r *Router) heard(now time.Time, h Hello) string {
-	r.learn(func(time.Time) { r.table.Take(now, h.Greeting) })
+	r.learn(func(time.Time) { r.table.Receive(now, h.Greeting) })
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Address(h.Greeting.From)
--- a/services/peer/greeting.go
+++ b/services/peer/greeting.go
@@ -9,37 +9,40 @@
 	"time"
 )
 
-// maxWords bounds the words in a greeting. A word takes some 150 bytes; what is left follows in the next.
-const maxWords = 200
+// maxEntries bounds the entries in a gossip message. An entry takes some 150 bytes; the remainder
+// is sent in the next message.
+const maxEntries = 200
 
-// Greeting is what two routers tell each other of the processes that they know: what has changed in the table of the
-// one since the other last took it in.
-type Greeting struct {
+// GossipMessage is a gossip message: the changes in the sender's table that the receiver has not
+// merged yet.
+type GossipMessage struct {
 	From  string
 	Stamp Stamp
-	// Digest differs when the words of the two tables do; Position is that of the sender's table.
+	// Digest differs if the entries of the two tables differ. Position is that of the sender's
+	// table.
 	Digest   uint64
 	Position position
-	// Seen tells how far the sender has taken in the receiver's table.
+	// Seen is how far the sender has merged the receiver's table.
 	Seen Cursor
-	// Words are the changes after Since up to Upto. A sender that does not know how far the receiver is tells of itself
-	// only, and Upto is 0.
+	// Words are the entries changed after Since up to Upto. A sender that does not know the
+	// receiver's position sends only its own entry, and Upto is 0.
 	Since, Upto position
-	Words       []Word
+	Words       []GossipEntry
 }
 
-// Cursor is a place in the changes of another process's table. Start is that of the process: a new one has a new table.
+// Cursor is a position in the changes of another process's table. Start is the start of that
+// process, since a restarted process has a new table.
 type Cursor struct {
 	Start    uint64
 	Position position
 }
 
-// link is how far two processes know each other's tables.
+// link tracks how far two processes have merged each other's tables.
 type link struct {
-	// seen is how far this process has taken in the other's table, and told how far the other has this one's. Known says
-	// that the other has told so.
+	// seen is how far this process has merged the other's table, and acked how far the other has
+	// merged this one's. known reports whether the other has confirmed acked.
 	seen  Cursor
-	told  position
+	acked position
 	known bool
 }
 
@@ -53,59 +56,61 @@
 	return l
 }
 
-// Greeting returns what is to be told to a process; its name is empty if only its address is known.
-func (t *Table) Greeting(to string) Greeting {
-	own := t.nodes[t.self].Word
-	g := Greeting{From: t.self, Stamp: own.Stamp, Digest: t.digest, Position: t.position}
+// GossipFor returns the gossip message for a process. The name is empty if only its address is
+// known.
+func (t *Table) GossipFor(to string) GossipMessage {
+	own := t.nodes[t.self].GossipEntry
+	g := GossipMessage{From: t.self, Stamp: own.Stamp, Digest: t.digest, Position: t.position}
 	l, ok := t.links[to]
 	if !ok || !l.known {
-		g.Words = []Word{own}
+		g.Words = []GossipEntry{own}
 		return g
 	}
-	g.Seen, g.Since, g.Upto = l.seen, l.told, l.told
-	if l.told < t.position {
-		g.Words, g.Upto = t.since(l.told, teller{name: to, start: l.seen.Start})
+	g.Seen, g.Since, g.Upto = l.seen, l.acked, l.acked
+	if l.acked < t.position {
+		g.Words, g.Upto = t.since(l.acked, source{name: to, start: l.seen.Start})
 	}
 	return g
 }
 
-// since returns the words that have changed after a position and that were not told by the process that is to be told,
-// and how far that goes. A process that knows nothing yet need not know who has fallen silent.
-func (t *Table) since(p position, to teller) ([]Word, position) {
-	var changed []*entry
+// since returns the entries that changed after a position, except those received from the
+// destination, and the position that they cover. Silent processes are not sent to a process that
+// has no state yet.
+func (t *Table) since(p position, to source) ([]GossipEntry, position) {
+	var changed []*record
 	for name, e := range t.nodes {
 		if e.changed <= p || e.from == to || p == 0 && e.Silent && name != t.self {
 			continue
 		}
 		changed = append(changed, e)
 	}
-	slices.SortFunc(changed, func(a, b *entry) int { return cmp.Compare(a.changed, b.changed) })
+	slices.SortFunc(changed, func(a, b *record) int { return cmp.Compare(a.changed, b.changed) })
 	upto := t.position
-	if len(changed) > maxWords {
-		changed = changed[:maxWords]
-		upto = changed[maxWords-1].changed
+	if len(changed) > maxEntries {
+		changed = changed[:maxEntries]
+		upto = changed[maxEntries-1].changed
 	}
-	words := make([]Word, len(changed))
+	words := make([]GossipEntry, len(changed))
 	for i, e := range changed {
-		words[i] = e.Word
+		words[i] = e.GossipEntry
 	}
 	return words, upto
 }
 
-// Take takes in the greeting of a process, or its answer to one.
-func (t *Table) Take(now time.Time, g Greeting) {
+// Receive merges a gossip message from a process, or its reply to one.
+func (t *Table) Receive(now time.Time, g GossipMessage) {
 	if g.From == t.self || g.From == "" {
 		return
 	}
 	for _, w := range g.Words {
-		t.take(now, w, teller{name: g.From, start: g.Stamp.Start})
+		t.merge(now, w, source{name: g.From, start: g.Stamp.Start})
 	}
-	t.hear(now, g.From)
+	t.markContact(now, g.From)
 	l := t.link(g.From)
 	l.known = true
 	if g.Digest == t.digest {
 		l.seen = Cursor{Start: g.Stamp.Start, Position: g.Position}
-		l.told = t.position
+		l.acked = t.position
 		return
 	}
 	if l.seen.Start != g.Stamp.Start {
@@ -114,8 +119,8 @@
 	if g.Since <= l.seen.Position {
 		l.seen.Position = max(l.seen.Position, g.Upto)
 	}
-	l.told = 0
+	l.acked = 0
 	if g.Seen.Start == t.nodes[t.self].Stamp.Start {
-		l.told = g.Seen.Position
+		l.acked = g.Seen.Position
 	}
 }
--- a/services/peer/mark.go
+++ b/services/peer/mark.go
@@ -3,11 +3,11 @@
 
 package peer
 
-// Position numbers the changes of something that a process holds.
+// Position numbers the changes of a state that a process publishes.
 type Position uint64
 
-// Mark is a place in the changes of something that a process holds and tells others of. Start is that of what it holds: a process that starts
-// again has another one.
+// Mark is a watermark in the changes of a state that a process publishes. Start identifies that
+// state: a process that restarts has another one.
 type Mark struct {
 	Start    uint64
 	Position Position
--- a/services/peer/spread_test.go
+++ b/services/peer/spread_test.go
@@ -14,19 +14,20 @@
 	"fawnwinch.org/fawnwinch/models/vm"
 )
 
-// The times of the model. They are those of the shell in services/entry, and of data centres of one region.
+// The times of the model are those used in services/entry and the latencies between data centres of
+// one region.
 const (
-	modelRound    = 400 * time.Millisecond
-	modelGap      = 50 * time.Millisecond
-	modelPatience = 350 * time.Millisecond
-	modelNear     = 200 * time.Microsecond
-	modelFar      = 1400 * time.Microsecond
-	startWithin   = 300 * time.Millisecond
+	modelRound   = 400 * time.Millisecond
+	modelGap     = 50 * time.Millisecond
+	modelTimeout = 350 * time.Millisecond
+	modelNear    = 200 * time.Microsecond
+	modelFar     = 1400 * time.Microsecond
+	startWithin  = 300 * time.Millisecond
 )
 
 var begin = time.Unix(1000, 0)
 
-// event is something that happens at a time.
+// event is an action scheduled at a time.
 type event struct {
 	at  time.Time
 	seq int
@@ -52,17 +53,18 @@
 type node struct {
 	info  Info
 	table *Table
-	// down says that its process does not run, dark that its VM says nothing; frozen that it works off nothing.
-	down, dark, frozen bool
-	life               int
-	nextAt             time.Time
-	pending            bool
-	told               uint64
-	busy               map[string]bool
-	calls, words       int
+	// down reports whether the process does not run, poweredOff whether its VM does not answer, and
+	// frozen whether it processes nothing.
+	down, poweredOff, frozen bool
+	incarnation              int
+	nextAt                   time.Time
+	pending                  bool
+	gossipedAt               uint64
+	inFlight                 map[string]bool
+	calls, entries           int
 }
 
-// model plays routers on virtual time.
+// model simulates routers on virtual time.
 type model struct {
 	t     testing.TB
 	rand  *rand.Rand
@@ -98,8 +100,8 @@
 	heap.Push(&m.queue, event{at: m.now.Add(d), seq: m.seq, run: f})
 }
 
-// play lets time pass.
-func (m *model) play(d time.Duration) {
+// advance advances the virtual time.
+func (m *model) advance(d time.Duration) {
 	end := m.now.Add(d)
 	for len(m.queue) > 0 && !m.queue[0].at.After(end) {
 		e := heap.Pop(&m.queue).(event)
@@ -119,13 +121,13 @@
 }
 
 func (m *model) start(n *node) {
-	n.life++
-	n.down, n.dark, n.told, n.busy = false, false, 0, map[string]bool{}
+	n.incarnation++
+	n.down, n.poweredOff, n.gossipedAt, n.inFlight = false, false, 0, map[string]bool{}
 	n.table = NewTable(m.now, n.info)
-	life := n.life
+	incarnation := n.incarnation
 	var round func()
 	round = func() {
-		if n.down || n.life != life {
+		if n.down || n.incarnation != incarnation {
 			return
 		}
 		if !n.frozen {
@@ -139,10 +141,11 @@
 
 func (m *model) kill(n *node) { n.down = true }
 
-// greet has a router greet its neighbours, or the seeds while it hears nobody.
+// greet sends a gossip round of a router: to its neighbours, and to the seeds while it receives no
+// messages.
 func (m *model) greet(n *node) {
 	n.nextAt = m.now.Add(modelGap)
-	n.told = n.table.Position()
+	n.gossipedAt = n.table.Position()
 	targets := n.table.Targets(m.now, m.rand.IntN)
 	if n.table.Alone(m.now) {
 		for _, s := range m.seeds {
@@ -150,65 +153,65 @@
 		}
 	}
 	for _, to := range targets {
-		if to.Address != n.info.Address && !n.busy[to.Address] {
+		if to.Address != n.info.Address && !n.inFlight[to.Address] {
 			m.call(n, to)
 		}
 	}
 }
 
-// changed has a router greet its neighbours soon if its table has changed.
+// changed schedules a gossip round of a router if its table has changed.
 func (m *model) changed(n *node) {
-	if n.table.Position() == n.told || n.pending || n.down {
+	if n.table.Position() == n.gossipedAt || n.pending || n.down {
 		return
 	}
 	n.pending = true
 	m.after(max(n.nextAt.Sub(m.now), 0), func() {
 		n.pending = false
-		if !n.down && !n.frozen && n.table.Position() != n.told {
+		if !n.down && !n.frozen && n.table.Position() != n.gossipedAt {
 			m.greet(n)
 		}
 	})
 }
 
-// call greets a router and takes in its answer.
+// call sends a gossip message to a router and merges its reply.
 func (m *model) call(n *node, to Target) {
 	peer := m.nodes[strings.TrimPrefix(to.Address, "at ")]
 	delay := modelNear
 	if peer.info.DataCentre != n.info.DataCentre {
 		delay = modelFar
 	}
-	life := n.life
-	n.busy[to.Address] = true
+	incarnation := n.incarnation
+	n.inFlight[to.Address] = true
 	ended := false
 	end := func(f func()) {
-		if !ended && n.life == life && !n.down {
+		if !ended && n.incarnation == incarnation && !n.down {
 			ended = true
-			delete(n.busy, to.Address)
+			delete(n.inFlight, to.Address)
 			f()
 			m.changed(n)
 		}
 	}
-	m.after(modelPatience, func() { end(func() {}) })
-	g := n.table.Greeting(to.Name)
+	m.after(modelTimeout, func() { end(func() {}) })
+	g := n.table.GossipFor(to.Name)
 	n.calls++
-	n.words += len(g.Words)
+	n.entries += len(g.Words)
 	m.send(n, peer, delay, func() {
 		switch {
-		case peer.down && peer.dark:
+		case peer.down && peer.poweredOff:
 		case peer.down:
-			m.send(peer, n, delay, func() { end(func() { n.table.Failed(m.now, to.Name) }) })
+			m.send(peer, n, delay, func() { end(func() { n.table.ConnectionRefused(m.now, to.Name) }) })
 		case peer.frozen:
 		default:
-			peer.table.Take(m.now, g)
-			answer := peer.table.Greeting(g.From)
-			peer.words += len(answer.Words)
+			peer.table.Receive(m.now, g)
+			answer := peer.table.GossipFor(g.From)
+			peer.entries += len(answer.Words)
 			m.changed(peer)
-			m.send(peer, n, delay, func() { end(func() { n.table.Take(m.now, answer) }) })
+			m.send(peer, n, delay, func() { end(func() { n.table.Receive(m.now, answer) }) })
 		}
 	})
 }
 
-// send carries a message; one that is lost is sent again after 200 ms, as TCP does.
+// send delivers a message. A lost one is retransmitted after 200 ms, as TCP does.
 func (m *model) send(from, to *node, delay time.Duration, arrive func()) {
 	if m.cut(from, to) {
 		return
@@ -219,7 +222,7 @@
 	m.after(delay+time.Duration(m.rand.Int64N(int64(time.Millisecond))), arrive)
 }
 
-// agree reports whether all routers that run name the same others.
+// agree reports whether all running routers list exactly the other running ones.
 func (m *model) agree() bool {
 	running := 0
 	for _, n := range m.nodes {
@@ -244,28 +247,29 @@
 	return true
 }
 
-// until plays on until all agree, and returns how long that took.
-func (m *model) until(what string, most time.Duration) time.Duration {
+// untilAgreed advances the time until all routers agree, and returns how long that took.
+func (m *model) untilAgreed(what string, timeout time.Duration) time.Duration {
 	m.t.Helper()
 	step := 10 * time.Millisecond * time.Duration(1+len(m.names)/100)
-	for began := m.now; ; m.play(step) {
+	for began := m.now; ; m.advance(step) {
 		if m.agree() {
 			return m.now.Sub(began)
 		}
-		if m.now.Sub(began) > most {
-			m.t.Fatalf("%s: routers do not agree after %s", what, most)
+		if m.now.Sub(began) > timeout {
+			m.t.Fatalf("%s: routers do not agree after %s", what, timeout)
 		}
 	}
 }
 
-func (m *model) some(part float64, f func(n *node)) {
-	for _, i := range m.rand.Perm(len(m.names))[:int(part*float64(len(m.names)))] {
+func (m *model) some(fraction float64, f func(n *node)) {
+	for _, i := range m.rand.Perm(len(m.names))[:int(fraction*float64(len(m.names)))] {
 		f(m.nodes[m.names[i]])
 	}
 }
 
-// TestSpread checks, for deployments of 7 to 149 routers, how soon all know who has started, been killed or lost power, and
-// that what a router does for that grows with the logarithm of their number at most.
+// TestSpread checks, for deployments of 7 to 149 routers, how soon all routers learn that one has
+// started, was killed or lost power. The calls of a router must grow at most with the logarithm of
+// their number.
 func TestSpread(t *testing.T) {
 	cases := map[string]struct {
 		routers, dataCentres int
@@ -285,7 +289,7 @@
 	}
 }
 
-// BenchmarkSpread plays a deployment of the size that is planned for: it prints what TestSpread logs.
+// BenchmarkSpread simulates deployments up to the planned size and prints what TestSpread logs.
 func BenchmarkSpread(b *testing.B) {
 	for _, routers := range []int{7, 41, 149, 300, 1000} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
@@ -296,46 +300,46 @@
 	}
 }
 
-// spread plays the events of a deployment's life, each alone.
+// spread simulates the events in the life of a deployment one at a time.
 func spread(t testing.TB, m *model) {
 	m.startAll()
-	m.play(startWithin)
-	started := startWithin + m.until("start", 3*time.Second)
+	m.advance(startWithin)
+	started := startWithin + m.untilAgreed("start", 3*time.Second)
 	atStart := m.sum((*node).countCalls)
-	m.play(5 * time.Second)
-	calls, words := m.sum((*node).countCalls), m.sum((*node).countWords)
-	m.play(10 * time.Second)
-	calls, words = m.sum((*node).countCalls)-calls, m.sum((*node).countWords)-words
+	m.advance(5 * time.Second)
+	calls, words := m.sum((*node).countCalls), m.sum((*node).countEntries)
+	m.advance(10 * time.Second)
+	calls, words = m.sum((*node).countCalls)-calls, m.sum((*node).countEntries)-words
 	if !m.agree() || words > 0 {
 		t.Errorf("a calm deployment does not agree: %d words", words)
 	}
 	one := m.nodes[m.names[m.rand.IntN(len(m.names))]]
 	m.kill(one)
-	killed := m.until("a kill", 2*time.Second)
+	killed := m.untilAgreed("a kill", 2*time.Second)
 	m.start(one)
-	back := m.until("a start", 2*time.Second)
-	m.play(3 * time.Second)
-	one.dark = true
+	back := m.untilAgreed("a start", 2*time.Second)
+	m.advance(3 * time.Second)
+	one.poweredOff = true
 	m.kill(one)
-	dark := m.until("a loss of power", 2*time.Second)
+	outage := m.untilAgreed("a loss of power", 2*time.Second)
 	m.start(one)
-	m.until("a start", 2*time.Second)
-	m.play(3 * time.Second)
-	m.some(0.55, func(n *node) { n.dark = true; m.kill(n) })
-	half := m.until("a loss of power of half of them", 4*time.Second)
+	m.untilAgreed("a start", 2*time.Second)
+	m.advance(3 * time.Second)
+	m.some(0.55, func(n *node) { n.poweredOff = true; m.kill(n) })
+	half := m.untilAgreed("a loss of power of half of them", 4*time.Second)
 	m.startAll()
-	m.play(startWithin)
-	m.until("start of half of them", 2*time.Second)
+	m.advance(startWithin)
+	m.untilAgreed("start of half of them", 2*time.Second)
 	perRouter := func(n int) float64 { return float64(n) / float64(len(m.names)) }
 	t.Logf("start %s with %.0f calls a router; calm %.1f calls/s a router; all know of a kill after %s, of a start after %s, of a loss of power after %s, of that of 55%% after %s",
-		started, perRouter(atStart), perRouter(calls)/10, killed, back, dark, half)
+		started, perRouter(atStart), perRouter(calls)/10, killed, back, outage, half)
 	if most := float64(degree(len(m.names)))/modelRound.Seconds() + 0.1; perRouter(calls)/10 > most {
 		t.Errorf("%.1f calls a second and router, want %.1f at most", perRouter(calls)/10, most)
 	}
 }
 
-func (n *node) countCalls() int { return n.calls }
-func (n *node) countWords() int { return n.words }
+func (n *node) countCalls() int   { return n.calls }
+func (n *node) countEntries() int { return n.entries }
 
 func (m *model) sum(count func(n *node) int) int {
 	sum := 0
@@ -345,7 +349,7 @@
 	return sum
 }
 
-// missing returns the part of all pairs of routers that run in which the one does not name the other.
+// missing returns the fraction of pairs of running routers in which one does not list the other.
 func (m *model) missing() float64 {
 	pairs, missing := 0, 0
 	for _, n := range m.nodes {
@@ -359,16 +363,19 @@
 	return float64(missing) / float64(pairs)
 }
 
-// TestSpreadUnderFaults checks what routers believe of each other while links lose packets, data centres or single routers
-// are cut off, and VMs freeze, and that they agree soon after.
+// TestSpreadUnderFaults checks how many routers lose contact with each other while links lose
+// packets, data centres or single routers are cut off, or VMs freeze. All routers must agree soon
+// after the fault.
 func TestSpreadUnderFaults(t *testing.T) {
 	cases := map[string]struct {
 		begin, end func(m *model)
-		// missing is the part of the pairs of routers that may not know each other after some seconds.
+		// missing is the fraction of pairs of routers that may not list each other after some
+		// seconds.
 		missing float64
-		// again is the time in which all agree once the fault has ended, and words how many words a router tells meanwhile.
-		again time.Duration
-		words int
+		// recovery is the time in which all agree after the end of the fault, and words the maximum
+		// number of entries that a router sends meanwhile.
+		recovery time.Duration
+		words    int
 	}{
 		"links lose packets": {
 			func(m *model) { m.loss = 0.03 }, func(m *model) { m.loss = 0 }, 0.02, 2 * time.Second, 300,
@@ -406,18 +413,18 @@
 			for seed := range uint64(3) {
 				m := newModel(t, 60, 3, seed)
 				m.startAll()
-				m.play(4 * time.Second)
+				m.advance(4 * time.Second)
 				c.begin(m)
-				m.play(4 * time.Second)
+				m.advance(4 * time.Second)
 				if missing := m.missing(); missing > c.missing {
 					t.Errorf("seed %d: %.3f of the pairs do not know each other", seed, missing)
 				}
-				before := m.sum((*node).countWords)
+				before := m.sum((*node).countEntries)
 				c.end(m)
-				again := m.until("the end of the fault", c.again)
-				m.play(2 * time.Second)
-				words := (m.sum((*node).countWords) - before) / len(m.names)
-				t.Logf("seed %d: all agree after %s, %d words a router", seed, again, words)
+				recovery := m.untilAgreed("the end of the fault", c.recovery)
+				m.advance(2 * time.Second)
+				words := (m.sum((*node).countEntries) - before) / len(m.names)
+				t.Logf("seed %d: all agree after %s, %d words a router", seed, recovery, words)
 				if words > c.words || !m.agree() {
 					t.Errorf("seed %d: %d words a router, want %d at most; all agree: %t", seed, words, c.words, m.agree())
 				}
--- a/services/peer/table.go
+++ b/services/peer/table.go
@@ -12,94 +12,101 @@
 )
 
 const (
-	// silentAfter is how long a neighbour may be silent before others act as if it were gone. One greeting in
-	// either direction may be lost, two may not.
-	silentAfter = 1050 * time.Millisecond
-	// forgetAfter is how long a silent process is kept and greeted now and then.
+	// silenceTimeout is how long a neighbour may be silent before it is treated as gone. It
+	// tolerates the loss of one gossip message in either direction, but not of two.
+	silenceTimeout = 1050 * time.Millisecond
+	// forgetAfter is how long a silent process is kept in the table and occasionally probed.
 	forgetAfter = 60 * time.Second
-	// fewHeard is the part of its neighbours that a router must have heard within heardLately, somewhat more than the time
-	// between two greetings, to tell others that one of them is silent. One that is cut off hears nobody, and would have
-	// everybody taken for gone.
-	fewHeard    = 0.25
-	heardLately = 600 * time.Millisecond
+	// minContactFraction is the fraction of its neighbours that a router must have received
+	// messages from within contactWindow before it reports one of them as silent. contactWindow is
+	// somewhat longer than the gossip interval. A router that is cut off receives nothing and would
+	// otherwise report every other router as gone.
+	minContactFraction = 0.25
+	contactWindow      = 600 * time.Millisecond
 )
 
-// entry is what a table holds of one process.
-type entry struct {
-	Word
-	// heard is when the process itself was last heard, and watched since when it has been a neighbour; zero for never.
-	heard, watched time.Time
-	// changed numbers the latest change of the word in this table, and from is the process that has told it.
+// record is the table's record of one process.
+type record struct {
+	GossipEntry
+	// lastContact is when a message was last received from the process itself, and neighbourSince
+	// since when it has been a neighbour; zero for never.
+	lastContact, neighbourSince time.Time
+	// changed is the position of the latest change of the entry in this table, and from is the
+	// process that sent it.
 	changed position
-	from    teller
-	// at is the time of that change.
-	at time.Time
+	from    source
+	// changedAt is the time of that change.
+	changedAt time.Time
 }
 
 // position numbers the changes of a table.
 type position uint64
 
-// teller is a process since one of its starts.
-type teller struct {
+// source identifies a process and one of its starts.
+type source struct {
 	name  string
 	start uint64
 }
 
-// Table holds the processes that one router knows, itself among them. It does no I/O and reads no clock.
+// Table holds the processes known to one router, including the router itself. It does no I/O and
+// reads no clock.
 type Table struct {
 	self  string
-	nodes map[string]*entry
+	nodes map[string]*record
 	links map[string]*link
-	// position is that of the latest change, digest a number that differs when the words of two tables do.
+	// position is that of the latest change. digest is a hash that differs if the entries of two
+	// tables differ.
 	position position
 	digest   uint64
-	// neighbours holds the processes that are greeted, as of a position.
-	neighbours []*entry
+	// neighbours holds the processes that this one exchanges gossip with, computed at position
+	// chosenAt.
+	neighbours []*record
 	chosenAt   position
 	chosen     bool
 }
 
-// NewTable returns the table of a process that knows only itself, started at a time.
+// NewTable returns the table of a process that knows only itself and started at now.
 func NewTable(now time.Time, self Info) *Table {
-	t := &Table{self: self.Name, nodes: map[string]*entry{}, links: map[string]*link{}}
-	t.put(now, Word{Info: self, Stamp: Stamp{Start: uint64(max(now.UnixNano(), 1))}}, teller{})
+	t := &Table{self: self.Name, nodes: map[string]*record{}, links: map[string]*link{}}
+	t.put(now, GossipEntry{Info: self, Stamp: Stamp{Start: uint64(max(now.UnixNano(), 1))}}, source{})
 	return t
 }
 
-// Self returns what the process tells of itself.
+// Self returns the information that the process publishes about itself.
 func (t *Table) Self() Info { return t.nodes[t.self].Info }
 
-// Tell changes what the process tells of itself. It reports whether that is something new.
-func (t *Table) Tell(now time.Time, i Info) bool {
+// UpdateSelf updates the information that the process publishes about itself. It reports whether
+// anything changed.
+func (t *Table) UpdateSelf(now time.Time, i Info) bool {
 	e := t.nodes[t.self]
 	if e.Info == i {
 		return false
 	}
-	t.put(now, Word{Info: i, Stamp: Stamp{Start: e.Stamp.Start, Revision: e.Stamp.Revision + 1}}, teller{})
+	t.put(now, GossipEntry{Info: i, Stamp: Stamp{Start: e.Stamp.Start, Revision: e.Stamp.Revision + 1}}, source{})
 	return true
 }
 
-// Position returns a number that rises whenever a word of the table changes.
+// Position returns a number that increases whenever an entry of the table changes.
 func (t *Table) Position() uint64 { return uint64(t.position) }
 
-// put keeps a word that some process has told.
-func (t *Table) put(now time.Time, w Word, from teller) {
+// put stores an entry received from a process.
+func (t *Table) put(now time.Time, w GossipEntry, from source) {
 	e, ok := t.nodes[w.Info.Name]
 	if !ok {
-		e = &entry{}
+		e = &record{}
 		t.nodes[w.Info.Name] = e
 	} else if !e.Silent {
 		t.digest ^= e.hash()
 	}
 	t.position++
-	e.Word, e.changed, e.from, e.at = w, t.position, from, now
+	e.GossipEntry, e.changed, e.from, e.changedAt = w, t.position, from, now
 	if !w.Silent {
 		t.digest ^= e.hash()
 	}
 }
 
-// take takes in what another process says of a process.
-func (t *Table) take(now time.Time, w Word, from teller) {
+// merge applies an entry received from another process.
+func (t *Table) merge(now time.Time, w GossipEntry, from source) {
 	e, known := t.nodes[w.Info.Name]
 	if !known {
 		t.put(now, w, from)
@@ -108,67 +115,69 @@
 	order := w.Stamp.Compare(e.Stamp)
 	switch {
 	case w.Info.Name == t.self:
-		t.answer(now, w, order)
+		t.refute(now, w, order)
 	case order > 0, order == 0 && w.Silent && !e.Silent:
 		t.put(now, w, from)
 	}
 }
 
-// answer takes a new stamp if others say something of this process that goes before its own word: that it is silent, or
-// what an earlier start has told.
-func (t *Table) answer(now time.Time, w Word, order int) {
+// refute publishes a new stamp if others hold an entry of this process that supersedes its own: one
+// that marks it as silent, or one from an earlier start.
+func (t *Table) refute(now time.Time, w GossipEntry, order int) {
 	if order < 0 || order == 0 && !w.Silent {
 		return
 	}
-	own := t.nodes[t.self].Word
+	own := t.nodes[t.self].GossipEntry
 	own.Stamp = Stamp{Start: w.Stamp.Start, Revision: w.Stamp.Revision + 1}
-	t.put(now, own, teller{})
+	t.put(now, own, source{})
 }
 
-// hear notes that a process was heard itself.
-func (t *Table) hear(now time.Time, name string) {
+// markContact records that a message was received from the process itself.
+func (t *Table) markContact(now time.Time, name string) {
 	if e, ok := t.nodes[name]; ok && name != t.self {
-		e.heard = now
+		e.lastContact = now
 	}
 }
 
-// Failed notes that a process has refused a connection: its VM runs, but the process does not.
-func (t *Table) Failed(now time.Time, name string) {
+// ConnectionRefused records that a process refused a connection: its VM runs, but the process does
+// not.
+func (t *Table) ConnectionRefused(now time.Time, name string) {
 	if e, ok := t.nodes[name]; ok && name != t.self && !e.Silent {
-		e.heard = time.Time{}
-		t.silence(now, e)
+		e.lastContact = time.Time{}
+		t.markSilent(now, e)
 	}
 }
 
-func (t *Table) silence(now time.Time, e *entry) {
-	w := e.Word
+func (t *Table) markSilent(now time.Time, e *record) {
+	w := e.GossipEntry
 	w.Silent = true
-	t.put(now, w, teller{})
+	t.put(now, w, source{})
 }
 
-// Sweep notes which neighbours have fallen silent, and forgets those that have been silent for long.
+// Sweep marks neighbours as silent after the timeout, and forgets processes that have been silent
+// for forgetAfter.
 func (t *Table) Sweep(now time.Time) {
 	if neighbours := t.chooseNeighbours(now); !isolated(now, neighbours) {
 		for _, e := range neighbours {
 			if !e.Silent && !e.fresh(now) {
-				t.silence(now, e)
+				t.markSilent(now, e)
 			}
 		}
 	}
 	for name, e := range t.nodes {
-		if name != t.self && e.lost(now) {
+		if name != t.self && e.expired(now) {
 			t.forget(e)
 		}
 	}
 }
 
-// lost reports whether a process has been silent for so long that it is forgotten.
-func (e *entry) lost(now time.Time) bool {
+// expired reports whether a process has been silent for so long that it is removed from the table.
+func (e *record) expired(now time.Time) bool {
 	long := func(at time.Time) bool { return now.Sub(at) > forgetAfter }
-	return long(e.heard) && (e.Silent && long(e.at) || !e.watched.IsZero() && long(e.watched))
+	return long(e.lastContact) && (e.Silent && long(e.changedAt) || !e.neighbourSince.IsZero() && long(e.neighbourSince))
 }
 
-func (t *Table) forget(e *entry) {
+func (t *Table) forget(e *record) {
 	if !e.Silent {
 		t.digest ^= e.hash()
 	}
@@ -177,45 +186,47 @@
 	t.chosen = false
 }
 
-// fresh reports whether a process was heard itself, or has become a neighbour, a short time ago.
-func (e *entry) fresh(now time.Time) bool {
-	return now.Sub(e.heard) < silentAfter || now.Sub(e.watched) < silentAfter
+// fresh reports whether a message was received from the process, or it became a neighbour, within
+// silenceTimeout.
+func (e *record) fresh(now time.Time) bool {
+	return now.Sub(e.lastContact) < silenceTimeout || now.Sub(e.neighbourSince) < silenceTimeout
 }
 
-// isolated reports whether hardly any of the neighbours are heard.
-func isolated(now time.Time, neighbours []*entry) bool {
-	heard := 0
+// isolated reports whether too few of the neighbours have sent a message recently.
+func isolated(now time.Time, neighbours []*record) bool {
+	reached := 0
 	for _, e := range neighbours {
-		if now.Sub(e.heard) < heardLately {
-			heard++
+		if now.Sub(e.lastContact) < contactWindow {
+			reached++
 		}
 	}
-	return float64(heard) < fewHeard*float64(len(neighbours))
+	return float64(reached) < minContactFraction*float64(len(neighbours))
 }
 
-// Alone reports whether no other process was heard lately.
+// Alone reports whether no other process has sent a message within silenceTimeout.
 func (t *Table) Alone(now time.Time) bool {
 	for name, e := range t.nodes {
-		if name != t.self && now.Sub(e.heard) < silentAfter {
+		if name != t.self && now.Sub(e.lastContact) < silenceTimeout {
 			return false
 		}
 	}
 	return true
 }
 
-// live reports whether a process seems to run. Neighbours are judged by what is heard here, others by what is said.
-func (t *Table) live(now time.Time, e *entry) bool {
+// live reports whether a process appears to run. Neighbours are judged by the messages received
+// here, other processes by gossip.
+func (t *Table) live(now time.Time, e *record) bool {
 	switch {
-	case now.Sub(e.heard) < silentAfter:
+	case now.Sub(e.lastContact) < silenceTimeout:
 		return true
-	case !e.watched.IsZero():
+	case !e.neighbourSince.IsZero():
 		return !e.Silent && e.fresh(now)
 	default:
 		return !e.Silent
 	}
 }
 
-// Live returns the other processes of a role that seem to run, sorted by name.
+// Live returns the other processes of a role that appear to run, sorted by name.
 func (t *Table) Live(now time.Time, role vm.Role) []Info {
 	t.chooseNeighbours(now)
 	var out []Info
@@ -228,7 +239,7 @@
 	return out
 }
 
-// Address returns the address of a process; empty if it is not known.
+// Address returns the address of a process, or "" if it is unknown.
 func (t *Table) Address(name string) string {
 	if e, ok := t.nodes[name]; ok {
 		return e.Info.Address
