--- a/services/entry/api.go
+++ b/services/entry/api.go
@@ -16,88 +16,90 @@
 	"fawnwinch.org/fawnwinch/services/peer"
 )
 
-// Extent tells how far a router knows a feed.
-type Extent struct {
+// FeedProgress is a router's read position in a feed.
+type FeedProgress struct {
 	Known bool
-	// Next is the offset from which the feed goes on, in an era of the store.
+	// Next is the offset at which the feed continues, in an era of the store.
 	Next services.Offset
 	Era  services.Era
-	// Age is how long ago that was known to be the end of the feed.
+	// Age is how long ago Next was known to be the end of the feed.
 	Age time.Duration
-	// Version is that of the catalog in force; 0 for other feeds. Of two routers at the same place one may know a later one, which the
-	// store has lost.
+	// Version is that of the catalog in force; 0 for other feeds. Of two routers at the same
+	// position, one may hold a later version that the store has lost.
 	Version catalog.Version
-	// Proven says that the catalog in force was known to be the newest that was accepted, and ProvenAge how long ago.
+	// Proven reports whether the catalog in force was ever confirmed as the newest accepted one,
+	// and ProvenAge how long ago.
 	Proven    bool
 	ProvenAge time.Duration
 }
 
-func extent(now time.Time, m knowledge.Mark) Extent {
+func progressOf(now time.Time, m knowledge.Watermark) FeedProgress {
 	if !m.Known() {
-		return Extent{}
+		return FeedProgress{}
 	}
-	return Extent{Known: true, Next: m.Next.Offset, Era: m.Next.Era, Age: now.Sub(m.AsOf)}
+	return FeedProgress{Known: true, Next: m.Next.Offset, Era: m.Next.Era, Age: now.Sub(m.AsOf)}
 }
 
-// catalogExtent returns how far the feed of catalogs is known.
-func catalogExtent(now time.Time, s *knowledge.State) Extent {
-	e := extent(now, s.Catalogs())
+// catalogProgress returns the read position of the feed of catalogs.
+func catalogProgress(now time.Time, s *knowledge.State) FeedProgress {
+	e := progressOf(now, s.Catalogs())
 	e.Version = s.Version()
 	e.Proven, e.ProvenAge = !s.CatalogProof().IsZero(), s.CatalogAge(now)
 	return e
 }
 
-// vouch returns what a router has told of the newest catalog, which was asked at a time.
-func (e Extent) vouch(asked time.Time) knowledge.Vouch {
+// confirmation returns the confirmation of the newest catalog in a router's reply to a request sent
+// at asked.
+func (e FeedProgress) confirmation(asked time.Time) knowledge.Confirmation {
 	if !e.Proven {
-		return knowledge.Vouch{}
+		return knowledge.Confirmation{}
 	}
-	return knowledge.Vouch{Version: e.Version, AsOf: asked.Add(-e.ProvenAge)}
+	return knowledge.Confirmation{Version: e.Version, AsOf: asked.Add(-e.ProvenAge)}
 }
 
-// place returns the place from which the feed goes on.
-func (e Extent) place() services.Place { return services.Place{Era: e.Era, Offset: e.Next} }
+// position returns the position at which the feed continues.
+func (e FeedProgress) position() services.Place { return services.Place{Era: e.Era, Offset: e.Next} }
 
-// asOf returns when a feed was known to end there. The question was sent at a time: what is known gets no younger on
-// its way.
-func (e Extent) asOf(asked time.Time) time.Time { return asked.Add(-e.Age) }
+// asOf returns when the feed was known to end at that position. Age counts from the sending of the
+// request at asked, so that state does not appear fresher by its time in transit.
+func (e FeedProgress) asOf(asked time.Time) time.Time { return asked.Add(-e.Age) }
 
-// Hello is what routers tell each other.
-type Hello struct {
+// GossipExchange is a message of a gossip exchange between routers.
+type GossipExchange struct {
 	Greeting peer.GossipMessage
-	// Catalogs and Upstreams tell how far the sender knows the two feeds of the store.
-	Catalogs, Upstreams Extent
-	// Marks tells how far the sender's knowledge has come that no feed holds.
-	Marks Marks
+	// Catalogs and Upstreams are the sender's read positions of the two feeds of the store.
+	Catalogs, Upstreams FeedProgress
+	// Marks are the sender's watermarks of the state that is in no feed.
+	Marks Watermarks
 }
 
-// Since is how far the router that asks knows a feed.
-type Since struct {
+// DeltaRequest is the read position of the router that requests a delta.
+type DeltaRequest struct {
 	Known bool
 	Next  services.Offset
 	Era   services.Era
-	// Version is that of its catalog.
+	// Version is that of the requester's catalog.
 	Version catalog.Version
 }
 
-// since returns what a router tells that asks for what lies beyond a mark.
-func since(m knowledge.Mark) Since {
-	return Since{Known: m.Known(), Next: m.Next.Offset, Era: m.Next.Era}
+// deltaRequest returns the request for the delta after a watermark.
+func deltaRequest(m knowledge.Watermark) DeltaRequest {
+	return DeltaRequest{Known: m.Known(), Next: m.Next.Offset, Era: m.Next.Era}
 }
 
-// CatalogNews is what a router knows of the feed of catalogs beyond what another one does.
-type CatalogNews struct {
-	Extent Extent
-	// Change leads from the version of the router that asks to the newest. Whole is the newest if no change can be told.
-	// Both are nil if the router that asks has it.
+// CatalogDelta is the delta of the feed of catalogs that the requester is missing.
+type CatalogDelta struct {
+	Extent FeedProgress
+	// Change leads from the requester's version to the newest. Whole is the newest catalog if no
+	// change is available. Both are nil if the requester already has the newest.
 	Change *catalog.Change
 	Whole  *catalog.Catalog
 }
 
-// UpstreamNews is what a router knows of the feed of upstreams beyond what another one does.
-type UpstreamNews struct {
-	Extent Extent
-	// Whole says that the changes are all upstreams there are.
+// UpstreamDelta is the delta of the feed of upstreams that the requester is missing.
+type UpstreamDelta struct {
+	Extent FeedProgress
+	// Whole reports whether Changes is a full snapshot of the upstreams.
 	Whole   bool
 	Changes []UpstreamChange
 }
@@ -105,14 +107,14 @@
 // UpstreamChange is one change of an upstream's entry.
 type UpstreamChange struct {
 	Key string
-	// Value is nil if the entry is gone.
+	// Value is nil if the entry was removed.
 	Value *upstream.Instance
 	// At is the offset of the change, in an era of the store.
 	At  services.Offset
 	Era services.Era
 }
 
-// newUpstreamChanges returns changes as they are told to other routers.
+// newUpstreamChanges converts changes for sending to other routers.
 func newUpstreamChanges(changes []services.Change[upstream.Instance]) []UpstreamChange {
 	out := make([]UpstreamChange, len(changes))
 	for i, c := range changes {
@@ -121,8 +123,8 @@
 	return out
 }
 
-// changes returns what another router has told.
-func (n *UpstreamNews) changes() []services.Change[upstream.Instance] {
+// changes converts the changes received from another router.
+func (n *UpstreamDelta) changes() []services.Change[upstream.Instance] {
 	out := make([]services.Change[upstream.Instance], len(n.Changes))
 	for i, c := range n.Changes {
 		out[i] = services.Change[upstream.Instance]{Key: c.Key, Value: c.Value, At: services.Place{Era: c.Era, Offset: c.At}}
@@ -130,30 +132,30 @@
 	return out
 }
 
-// API is what a router offers to other processes over rpc.
+// API is the RPC interface of a router.
 type API struct{ r *Router }
 
-// NewAPI returns the rpc interface of a router.
+// NewAPI returns the RPC interface of a router.
 func NewAPI(r *Router) *API { return &API{r: r} }
 
-// Greet takes in a greeting and answers it.
-func (a *API) Greet(h Hello, reply *Hello) error {
+// Greet merges a gossip message and replies to it.
+func (a *API) Greet(h GossipExchange, reply *GossipExchange) error {
 	now := clock.Now()
-	from := a.r.heard(now, h)
-	*reply = a.r.hello(now, h.Greeting.From)
-	// How old the sender's knowledge is cannot be told from a greeting, which may have been on its way for long; only
-	// that it goes further.
-	a.r.catalogs.told(from, h.Catalogs)
-	a.r.upstreams.told(from, h.Upstreams)
-	a.r.marksTold(from, h.Marks)
+	from := a.r.receive(now, h)
+	*reply = a.r.gossipFor(now, h.Greeting.From)
+	// The age of the sender's state cannot be derived from a request, which may have been in
+	// transit for long; only that the sender is ahead.
+	a.r.catalogs.pullIfAhead(from, h.Catalogs)
+	a.r.upstreams.pullIfAhead(from, h.Upstreams)
+	a.r.pullIfAhead(from, h.Marks)
 	return nil
 }
 
-// Catalogs tells what is known here of the feed of catalogs.
-func (a *API) Catalogs(since Since, reply *CatalogNews) error {
+// Catalogs returns the delta of the feed of catalogs.
+func (a *API) Catalogs(since DeltaRequest, reply *CatalogDelta) error {
 	now := clock.Now()
 	a.r.opts.Relay.Know(func(s *knowledge.State) {
-		reply.Extent = catalogExtent(now, s)
+		reply.Extent = catalogProgress(now, s)
 		if s.Index() == nil || since.Known && since.Version >= s.Version() {
 			return
 		}
@@ -168,11 +170,11 @@
 	return nil
 }
 
-// Upstreams tells what is known here of the feed of upstreams.
-func (a *API) Upstreams(since Since, reply *UpstreamNews) error {
+// Upstreams returns the delta of the feed of upstreams.
+func (a *API) Upstreams(since DeltaRequest, reply *UpstreamDelta) error {
 	now := clock.Now()
 	a.r.opts.Relay.Know(func(s *knowledge.State) {
-		reply.Extent = extent(now, s.Upstreams())
+		reply.Extent = progressOf(now, s.Upstreams())
 		if since.Known {
 			if changes, ok := s.UpstreamsSince(services.Place{Era: since.Era, Offset: since.Next}); ok {
 				reply.Changes = newUpstreamChanges(changes)
@@ -184,13 +186,13 @@
 	return nil
 }
 
-// Report takes in the load of a model group.
+// Report records the load of a model group.
 func (a *API) Report(report balance.Report, reply *balance.ReportReply) error {
 	*reply = a.r.takeReport(clock.Now(), report)
 	return nil
 }
 
-// Coordinators tells who coordinates the groups of a service.
+// Coordinators returns the coordinators of the groups of a service.
 func (a *API) Coordinators(id service.ID, reply *[]Coordinator) error {
 	*reply = a.r.coordinatorsOf(id)
 	return nil
--- a/services/entry/coverage.go
+++ b/services/entry/coverage.go
@@ -15,27 +15,29 @@
 )
 
 const (
-	// unreportedAfter is how long ranks are without a told load before a router logs it: a group is led again within a second and a
-	// half of its coordinator's death, and routers that have few requests are told each second.
+	// unreportedAfter is how long ranks must be unreported before a router logs it. A group has a
+	// new coordinator within a second and a half of its coordinator's death, and routers with few
+	// requests get a report each second.
 	unreportedAfter = 3 * time.Second
-	// unreportedEvery is the time between two such lines while that lasts.
-	unreportedEvery = 10 * time.Second
-	// unreportedNamed is the number of addresses that such a line names.
-	unreportedNamed = 3
+	// unreportedLogInterval is the time between two such log lines while that lasts.
+	unreportedLogInterval = 10 * time.Second
+	// maxLoggedAddresses is the maximum number of addresses in such a log line.
+	maxLoggedAddresses = 3
 )
 
-// GroupStatus is what a router knows of a model group.
+// GroupStatus is a router's view of a model group.
 type GroupStatus struct {
 	Coordinator
-	// Age is how long ago the coordinator last told the load.
+	// Age is how long ago the coordinator last reported the load.
 	Age time.Duration
-	// Open and Whole are as in balance.Group; Ranks, Running and Waiting count ranks and their requests.
+	// Open and Whole are as in balance.Group. Ranks, Running and Waiting count ranks and their
+	// requests.
 	Open, Whole             bool
 	Ranks, Running, Waiting int
 	Skew                    float64
 }
 
-// GroupsStatus is what a router knows of all model groups.
+// GroupsStatus is a router's view of all model groups.
 type GroupsStatus struct {
 	Router   string
 	Groups   []GroupStatus
@@ -43,8 +45,8 @@
 	Store    StoreStatus
 }
 
-// Groups tells operators which groups of a service tell their load, and which ranks belong to none that does; of all services if
-// none is named.
+// Groups returns, for operators, the reported groups of a service and the ranks that no group
+// reports; of all services if none is given.
 func (a *API) Groups(of service.ID, reply *GroupsStatus) error {
 	*reply = a.r.groupsStatus(clock.Now(), of)
 	return nil
@@ -65,7 +67,7 @@
 			continue
 		}
 		g := l.last
-		g.Coordinator, g.Age = l.Coordinator, now.Sub(l.toldAt)
+		g.Coordinator, g.Age = l.Coordinator, now.Sub(l.reportedAt)
 		out.Groups = append(out.Groups, g)
 	}
 	slices.SortFunc(out.Groups, func(a, b GroupStatus) int {
@@ -74,23 +76,24 @@
 	return out
 }
 
-// unreported is how long ranks of a service have been without a told load, and when that was last logged.
-type unreported struct{ since, noted time.Time }
+// unreported is since when ranks of a service are unreported, and when that was last logged.
+type unreported struct{ since, loggedAt time.Time }
 
-// noteCoverage logs that nobody tells the load of some ranks, from time to time, and that all are told again.
+// noteCoverage logs periodically that some ranks are unreported, and once when all are reported
+// again.
 func (r *Router) noteCoverage(now time.Time) {
 	for _, c := range r.opts.Relay.Coverage(now) {
 		u := r.unreported[c.Service]
 		switch missing := len(c.Unreported); {
-		case missing == 0 && u.noted.IsZero():
+		case missing == 0 && u.loggedAt.IsZero():
 			u.since = time.Time{}
 		case missing == 0:
 			r.opts.Logger.Info().Str("service", string(c.Service)).Int("listed", c.Listed).Int64("unreported_ms", now.Sub(u.since).Milliseconds()).Msg("ranks-reported")
 			u = unreported{}
 		case u.since.IsZero():
 			u.since = now
-		case now.Sub(u.since) > unreportedAfter && now.Sub(u.noted) > unreportedEvery:
-			u.noted = now
+		case now.Sub(u.since) > unreportedAfter && now.Sub(u.loggedAt) > unreportedLogInterval:
+			u.loggedAt = now
 			r.logUnreported(now, c, u.since)
 		}
 		r.unreported[c.Service] = u
@@ -98,13 +101,13 @@
 }
 
 func (r *Router) logUnreported(now time.Time, c relay.Coverage, since time.Time) {
-	known, told := r.groupsStatus(now, c.Service).Groups, 0
+	known, recent := r.groupsStatus(now, c.Service).Groups, 0
 	for _, g := range known {
 		if g.Age < unreportedAfter {
-			told++
+			recent++
 		}
 	}
 	r.opts.Logger.Warn().Str("service", string(c.Service)).Int("listed", c.Listed).Int("unreported", len(c.Unreported)).
-		Str("addresses", strings.Join(c.Unreported[:min(unreportedNamed, len(c.Unreported))], ",")).Int("groups_known", len(known)).Int("groups_told", told).
+		Str("addresses", strings.Join(c.Unreported[:min(maxLoggedAddresses, len(c.Unreported))], ",")).Int("groups_known", len(known)).Int("groups_told", recent).
 		Int64("unreported_ms", now.Sub(since).Milliseconds()).Msg("ranks-unreported")
 }
--- a/services/entry/coverage_test.go
+++ b/services/entry/coverage_test.go
@@ -26,13 +26,14 @@
 	"github.com/rs/zerolog"
 )
 
-// ranksOf are the addresses of the ranks of a group.
+// ranksOf returns the addresses of the ranks of a group.
 func ranksOf(g group.ID) []string { return []string{string(g) + "-0", string(g) + "-1"} }
 
-// place returns a place of a store that has not come back from a copy.
+// place returns a position in a store that was never restored from a copy.
 func place(o services.Offset) services.Place { return services.Place{Offset: o} }
 
-// knowGroups gives a router the catalog of a service with model groups, and the ranks of those.
+// knowGroups gives a router the catalog of a service with model groups, and the ranks of those
+// groups.
 func knowGroups(now time.Time, rl *relay.Relay, groups ...group.ID) {
 	rl.Know(func(s *knowledge.State) {
 		c := catalog.Catalog{Version: 1, Services: []catalog.Service{{ID: "m", Engine: &catalog.Engine{Slots: 4}}, {ID: "plain"}}}
@@ -48,7 +49,7 @@
 	})
 }
 
-// reportOf is the report of a group's coordinator.
+// reportOf returns the report of a group's coordinator.
 func reportOf(g group.ID, authority uint64, coordinator string) balance.Report {
 	load := balance.Group{Service: "m", ID: g, Open: true, Whole: true, Skew: 1.5}
 	for _, address := range ranksOf(g) {
@@ -59,7 +60,8 @@
 	return r
 }
 
-// TestGroupsStatus checks what a router tells operators of its groups: those that tell their load, and the ranks of which nobody tells.
+// TestGroupsStatus checks the group status for operators: the reported groups, and the ranks that
+// no group reports.
 func TestGroupsStatus(t *testing.T) {
 	r, rl, address := router(t, "a")
 	now := time.Now()
@@ -81,15 +83,16 @@
 	}
 }
 
-// TestNoteCoverage checks when a router logs that nobody tells of some ranks: after a while, rarely, and once when they are told.
+// TestNoteCoverage checks when a router logs unreported ranks: after a delay, at long intervals,
+// and once when they are reported again.
 func TestNoteCoverage(t *testing.T) {
 	var logs bytes.Buffer
 	rl := quietRelay()
 	defer rl.Close()
-	r := New(Options{Store: silent{}, Pool: rpc.NewPool(), Relay: rl, Logger: zerolog.New(&logs)})
+	r := New(Options{Store: silentStore{}, Pool: rpc.NewPool(), Relay: rl, Logger: zerolog.New(&logs)})
 	begin := time.Unix(1000, 0)
 	knowGroups(begin, rl, "g", "h")
-	told := func(at time.Duration, groups ...group.ID) {
+	report := func(at time.Duration, groups ...group.ID) {
 		for _, g := range groups {
 			r.takeReport(begin.Add(at), reportOf(g, 1, "c"))
 		}
@@ -111,7 +114,7 @@
 	}
 	for _, s := range steps {
 		logs.Reset()
-		told(s.at, s.groups...)
+		report(s.at, s.groups...)
 		if got := logs.String(); (s.want == "") != (got == "") || !strings.Contains(got, s.want) {
 			t.Errorf("at %s: logged %q, want %q", s.at, got, s.want)
 		}
@@ -121,14 +124,14 @@
 	}
 }
 
-// coordinatorOf serves the load of a group to routers that ask, and counts the questions.
+// coordinatorOf serves the load of a group to routers, and counts the calls.
 type coordinatorOf struct {
 	group   group.ID
 	address string
 	asked   atomic.Int32
 }
 
-// Report answers a router's question for the load.
+// Report returns the load of the group.
 func (c *coordinatorOf) Report(_ balance.Want, r *balance.Report) error {
 	c.asked.Add(1)
 	*r = reportOf(c.group, 1, c.address)
@@ -151,9 +154,11 @@
 	return c
 }
 
-// TestSeekEachGroup checks that a router looks for the coordinator of each group. It went by the service: as soon as one of several groups told
-// its load, the others were not looked for, and their ranks were sent to as if nobody had sent there (`ranks-unreported unreported=24 listed=72
-// groups_known=2 groups_told=2`). The group that tells need not be asked again.
+// TestSeekEachGroup checks that a router searches for the coordinator of each group. It guards
+// against a search per service that ends with the first reported group: the ranks of the other
+// groups then stayed unreported and got requests as if they were idle (`ranks-unreported
+// unreported=24 listed=72 groups_known=2 groups_told=2`). The reported group need not be asked
+// again.
 func TestSeekEachGroup(t *testing.T) {
 	a, ra, address := router(t, "a")
 	b, rb, _ := router(t, "b", address)
@@ -167,7 +172,7 @@
 	a.takeReport(now, reportOf("g", 1, g.address))
 	a.takeReport(now, reportOf("h", 1, h.address))
 	b.takeReport(time.Now(), reportOf("g", 1, g.address))
-	b.seekOne(t.Context(), "m")
+	b.searchCoordinators(t.Context(), "m")
 	c := rb.Coverage(time.Now())
 	if len(c) != 1 || len(c[0].Unreported) != 0 || h.asked.Load() == 0 {
 		t.Errorf("coverage %+v, the coordinator of h was asked %d times", c, h.asked.Load())
--- a/services/entry/entry.go
+++ b/services/entry/entry.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package entry is the router's shell: it follows the platform's store, greets the other routers, and
-// answers which routers callers should use.
+// Package entry is the I/O layer of the router's control plane: it follows the platform's store,
+// exchanges gossip with the other routers, and answers which routers callers should use.
 package entry
 
 import (
@@ -31,22 +31,23 @@
 	"github.com/rs/zerolog"
 )
 
-// Store is what a router needs of the platform's store.
+// Store is the part of the platform's store that a router uses.
 type Store interface {
 	Catalogs() services.Feed[catalog.Catalog]
 	Upstreams() services.Feed[upstream.Instance]
 	Nodes() services.Feed[peer.Info]
 	// PutNodes registers processes.
 	PutNodes(ctx context.Context, nodes []peer.Info) error
-	// Refused returns the feed of the requests that are refused because upstreams ended under them.
+	// Refused returns the feed of quarantined requests: those refused because upstreams crashed
+	// while running them.
 	Refused() services.Feed[quarantine.Entry]
-	// PutRefused keeps entries of such requests, and drops others by name.
+	// PutRefused stores entries of such requests, and deletes others by name.
 	PutRefused(ctx context.Context, entries []quarantine.Entry, drop []string) error
-	// Era returns the newest era that the store has told.
+	// Era returns the newest era that the store has reported.
 	Era() services.Era
 }
 
-// Options holds what a Router needs.
+// Options holds the dependencies of a Router.
 type Options struct {
 	Self   peer.Info
 	Seeds  []string
@@ -57,91 +58,93 @@
 	Bounds setting.Bounds
 }
 
-// Router keeps a relay's knowledge up to date. It is safe for use by several goroutines.
+// Router keeps the state of a relay up to date. It is safe for concurrent use.
 type Router struct {
 	opts      Options
 	catalogs  *follower[catalog.Catalog]
 	upstreams *follower[upstream.Instance]
 
-	// news has the neighbours greeted soon.
-	news chan struct{}
+	// gossipDue triggers a gossip round.
+	gossipDue chan struct{}
 
 	mu    sync.Mutex
 	table *peer.Table
-	// meter tells how much processor time this process uses.
+	// meter measures the processor time of this process.
 	meter usage.Meter
-	// greeting holds the addresses that are being greeted.
-	greeting map[string]bool
-	// registered holds the addresses of the other routers that are registered in the store, and strangers those of them that
-	// are still to be greeted because nothing was heard of them.
-	registered, strangers []string
-	// outage tells for each feed since when it cannot be read; absent while it can.
-	outage map[string]time.Time
-	// groups holds what is known of the model groups.
-	groups map[group.ID]led
-	// unreported tells of the ranks that no coordinator tells of; only the round of greetings uses it.
+	// inFlight holds the addresses with a gossip exchange in flight.
+	inFlight map[string]bool
+	// registered holds the addresses of the other routers that are registered in the store, and
+	// uncontacted those that are still to be contacted because no gossip mentioned them.
+	registered, uncontacted []string
+	// outageSince holds the start of the current outage of each feed; absent while the feed is
+	// readable.
+	outageSince map[string]time.Time
+	// groups holds the state of the model groups.
+	groups map[group.ID]groupState
+	// unreported tracks the ranks that no coordinator reports. Only the gossip loop uses it.
 	unreported map[service.ID]unreported
-	// sought takes the services whose loads nobody tells.
-	sought chan service.ID
-	// heardMarks holds how far the knowledge of other routers was taken in, by address, and knowsMore takes the address of one that
-	// has come further.
-	heardMarks map[string]Marks
-	knowsMore  chan string
-	// eraKnown is the first era of the store that this process has known; nil before one is.
-	eraKnown *services.Era
-	// ledger counts the permits that this router gives.
+	// searchRequests receives the services with ranks whose load is not reported.
+	searchRequests chan service.ID
+	// mergedMarks holds the watermarks up to which the state of other routers was merged, by
+	// address. ahead receives the address of a router that is ahead of its watermark.
+	mergedMarks map[string]Watermarks
+	ahead       chan string
+	// firstKnownEra is the first store era known to this process; nil until an era is known.
+	firstKnownEra *services.Era
+	// ledger counts the permits granted by this router.
 	ledger *quota.Ledger
 }
 
-// New returns a router that knows nobody.
+// New returns a router that knows no other routers.
 func New(o Options) *Router {
 	now := clock.Now()
 	o.Self.State = peer.StateStarting
 	r := &Router{
-		opts: o, table: peer.NewTable(now, o.Self), news: make(chan struct{}, 1), greeting: map[string]bool{},
-		outage: map[string]time.Time{}, groups: map[group.ID]led{}, unreported: map[service.ID]unreported{}, sought: make(chan service.ID, 1),
-		heardMarks: map[string]Marks{}, knowsMore: make(chan string, 1),
+		opts: o, table: peer.NewTable(now, o.Self), gossipDue: make(chan struct{}, 1), inFlight: map[string]bool{},
+		outageSince: map[string]time.Time{}, groups: map[group.ID]groupState{}, unreported: map[service.ID]unreported{}, searchRequests: make(chan service.ID, 1),
+		mergedMarks: map[string]Watermarks{}, ahead: make(chan string, 1),
 		ledger: quota.NewLedger(),
 	}
 	r.catalogs = newFollower(r, feedCatalogs, o.Store.Catalogs(), (*knowledge.State).Catalogs)
-	r.catalogs.take, r.catalogs.ask, r.catalogs.version, r.catalogs.settles = r.takeCatalogs, r.askCatalogs, r.version, r.settles
+	r.catalogs.apply, r.catalogs.pull, r.catalogs.version, r.catalogs.proofFrom = r.applyCatalogs, r.pullCatalogs, r.version, r.proofFrom
 	r.upstreams = newFollower(r, feedUpstreams, o.Store.Upstreams(), (*knowledge.State).Upstreams)
-	r.upstreams.take, r.upstreams.ask = r.takeUpstreams, r.askUpstreams
+	r.upstreams.apply, r.upstreams.pull = r.applyUpstreams, r.pullUpstreams
 	if !r.isSeed() {
-		r.catalogs.wait(now.Add(seedPatience))
-		r.upstreams.wait(now.Add(seedPatience))
+		r.catalogs.delayFirstRead(now.Add(seedTimeout))
+		r.upstreams.delayFirstRead(now.Add(seedTimeout))
 	}
-	r.rebound(o.Bounds)
-	o.Relay.OnUnreported(r.seek)
-	o.Relay.OnCrash(r.spread)
+	r.setBounds(o.Bounds)
+	o.Relay.OnUnreported(r.requestSearch)
+	o.Relay.OnCrash(r.triggerGossip)
 	o.Relay.Share(r)
 	return r
 }
 
-// seedPatience is how long a router that starts waits to be told by the seeds before it reads the store: each read of a
-// start is paid for, and after a loss of power all routers start at once.
-const seedPatience = 500 * time.Millisecond
+// seedTimeout is how long a starting router waits for state from the seeds before it reads the
+// store. Every read at start is paid for, and after a loss of power all routers start at once.
+const seedTimeout = 500 * time.Millisecond
 
-// isSeed reports whether this router is one that others ask first, or knows of none.
+// isSeed reports whether this router is a seed, or has no seeds.
 func (r *Router) isSeed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.opts.Seeds) == 0 || slices.Contains(r.opts.Seeds, r.opts.Self.Address)
 }
 
-// newFollower returns the follower of one of a router's feeds. Take and ask are still to be set.
-func newFollower[T any](r *Router, name string, feed services.Feed[T], mark func(*knowledge.State) knowledge.Mark) *follower[T] {
+// newFollower returns the follower of one of a router's feeds. The caller still has to set apply
+// and pull.
+func newFollower[T any](r *Router, name string, feed services.Feed[T], mark func(*knowledge.State) knowledge.Watermark) *follower[T] {
 	return &follower[T]{
 		name: name, feed: feed, logger: r.opts.Logger, wake: make(chan struct{}, 1), ahead: make(chan string, 1),
-		mark:   func() knowledge.Mark { return r.mark(mark) },
-		mine:   func(now time.Time) bool { return r.reads(now, name) },
-		spread: r.spread,
-		era:    r.era,
-		note:   func(err error) { r.noteOutage(name, err) },
+		mark:     func() knowledge.Watermark { return r.mark(mark) },
+		isReader: func(now time.Time) bool { return r.isReader(now, name) },
+		notify:   r.triggerGossip,
+		era:      r.era,
+		onRead:   func(err error) { r.noteOutage(name, err) },
 	}
 }
 
-// The feeds that routers follow, as they are called in logs.
+// The names of the feeds that routers follow, as used in logs.
 const (
 	feedCatalogs  = "catalogs"
 	feedUpstreams = "upstreams"
@@ -153,23 +156,24 @@
 	w.Go(func() { r.catalogs.run(ctx) })
 	w.Go(func() { r.upstreams.run(ctx) })
 	w.Go(func() { r.register(ctx) })
-	w.Go(func() { r.greetAll(ctx) })
-	w.Go(func() { r.seekAll(ctx) })
-	w.Go(func() { r.askHearsay(ctx) })
+	w.Go(func() { r.runGossip(ctx) })
+	w.Go(func() { r.runSearches(ctx) })
+	w.Go(func() { r.runPulls(ctx) })
 	w.Wait()
 }
 
-// reads reports whether this router reads a feed for all.
-func (r *Router) reads(now time.Time, feed string) bool {
+// isReader reports whether this router is the one that reads a feed for all routers.
+func (r *Router) isReader(now time.Time, feed string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// A router that does not reach the store goes on trying by itself, see watch.Times.
-	reader := watch.Reader(feed, r.staying(now, func(n peer.Info) bool { return !n.StoreLost }))
+	// A router that cannot reach the store keeps trying by itself, see watch.Times.
+	reader := watch.Reader(feed, r.eligibleRouters(now, func(n peer.Info) bool { return !n.StoreLost }))
 	return reader == r.table.Self().Name
 }
 
-// staying returns the names of the routers that run and do not leave: this one, and those others that are suited. The caller holds the lock.
-func (r *Router) staying(now time.Time, suited func(peer.Info) bool) []string {
+// eligibleRouters returns the names of the running routers that are not leaving: this one, and
+// those others that pass the filter. The caller holds the lock.
+func (r *Router) eligibleRouters(now time.Time, suited func(peer.Info) bool) []string {
 	var names []string
 	if self := r.table.Self(); self.State != peer.StateLeaving {
 		names = append(names, self.Name)
@@ -182,52 +186,54 @@
 	return names
 }
 
-func (r *Router) mark(of func(*knowledge.State) knowledge.Mark) knowledge.Mark {
-	var m knowledge.Mark
+func (r *Router) mark(of func(*knowledge.State) knowledge.Watermark) knowledge.Watermark {
+	var m knowledge.Watermark
 	r.opts.Relay.Know(func(s *knowledge.State) { m = of(s) })
 	return m
 }
 
-// version returns that of the catalog in force.
+// version returns the version of the catalog in force.
 func (r *Router) version() catalog.Version {
 	var v catalog.Version
 	r.opts.Relay.Know(func(s *knowledge.State) { v = s.Version() })
 	return v
 }
 
-// settles returns the time from which the catalog can be known to be the newest again after a return of the store, and whether it is not yet.
-func (r *Router) settles() (from time.Time, ok bool) {
-	r.opts.Relay.Know(func(s *knowledge.State) { from, ok = s.Settles() })
+// proofFrom returns the time from which reads can confirm the catalog as the newest after a restore
+// of the store, and whether that confirmation is still missing.
+func (r *Router) proofFrom() (from time.Time, ok bool) {
+	r.opts.Relay.Know(func(s *knowledge.State) { from, ok = s.ProofFrom() })
 	return from, ok
 }
 
-// era returns the newest era of the store that is known: by an answer of the store, or by what another router has told.
+// era returns the newest known era of the store, from the store's responses or from other routers.
 func (r *Router) era() services.Era {
 	era := r.opts.Store.Era()
 	r.opts.Relay.Know(func(s *knowledge.State) { era = max(era, s.Catalogs().Next.Era, s.Upstreams().Next.Era) })
 	return era
 }
 
-// firstEra returns the first era of the store that this process has known. It is the one given if none was known before.
+// firstEra returns the first store era known to this process. If none is known yet, the given one
+// is recorded.
 func (r *Router) firstEra(known services.Era) services.Era {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.eraKnown == nil {
-		r.eraKnown = &known
+	if r.firstKnownEra == nil {
+		r.firstKnownEra = &known
 	}
-	return *r.eraKnown
+	return *r.firstKnownEra
 }
 
-// noteOutage logs the begin and the end of a feed's outage.
+// noteOutage logs the start and the end of a feed's outage.
 func (r *Router) noteOutage(name string, err error) {
 	now := clock.Now()
 	r.mu.Lock()
-	since, out := r.outage[name]
+	since, out := r.outageSince[name]
 	switch {
 	case err != nil && !out:
-		r.outage[name] = now
+		r.outageSince[name] = now
 	case err == nil:
-		delete(r.outage, name)
+		delete(r.outageSince, name)
 	}
 	r.mu.Unlock()
 	switch {
@@ -238,69 +244,71 @@
 	}
 }
 
-// becomeReady begins to take callers once enough is known.
+// becomeReady begins to accept callers once the state is complete.
 func (r *Router) becomeReady() {
 	complete := false
 	r.opts.Relay.Know(func(s *knowledge.State) { complete = s.Complete() })
 	if complete && r.Self().State == peer.StateStarting {
-		r.enter(peer.StateReady)
+		r.setState(peer.StateReady)
 		r.opts.Logger.Info().Msg("ready")
 	}
 }
 
-// enter changes the state of this process, and has the neighbours told.
-func (r *Router) enter(s peer.State) {
-	r.learn(func(now time.Time) {
+// setState changes the state of this process, and notifies the neighbours.
+func (r *Router) setState(s peer.State) {
+	r.updateTable(func(now time.Time) {
 		self := r.table.Self()
 		self.State = s
 		r.table.UpdateSelf(now, self)
 	})
 }
 
-// Reload takes over new settings: the addresses of routers to begin with, and bounds.
+// Reload applies new settings: the seeds and the bounds.
 func (r *Router) Reload(seeds []string, b setting.Bounds) {
-	r.rebound(b)
+	r.setBounds(b)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.opts.Seeds = seeds
 }
 
-// rebound takes over the times in which catalogs must be in force and leaving upstreams get no more work.
-func (r *Router) rebound(b setting.Bounds) {
-	r.catalogs.rebound(watch.NewTimes(b.ApplyTime))
-	r.upstreams.rebound(watch.NewTimes(b.DrainTime))
+// setBounds sets the bounds on the time until catalogs are in force and until leaving upstreams get
+// no more work.
+func (r *Router) setBounds(b setting.Bounds) {
+	r.catalogs.setTimes(watch.NewTimes(b.ApplyTime))
+	r.upstreams.setTimes(watch.NewTimes(b.DrainTime))
 }
 
-// Self returns what this process tells of itself.
+// Self returns the information that this process publishes about itself.
 func (r *Router) Self() peer.Info {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Self()
 }
 
-// Leave tells the others that this process stops.
+// Leave notifies the other routers that this process is stopping.
 func (r *Router) Leave(ctx context.Context) {
-	r.enter(peer.StateLeaving)
+	r.setState(peer.StateLeaving)
 	var w sync.WaitGroup
-	r.greet(ctx, &w)
+	r.startRound(ctx, &w)
 	w.Wait()
 }
 
-// Ready reports whether the process takes callers.
+// Ready reports whether the process accepts callers.
 func (r *Router) Ready() bool { return r.Self().State == peer.StateReady }
 
 // Addresses returns the addresses that callers of a data centre should use.
 func (r *Router) Addresses(now time.Time, dc vm.DataCentre) []string {
 	var out []string
-	for _, n := range namedTo(r.taking(now), dc) {
+	for _, n := range routersFor(r.acceptingRouters(now), dc) {
 		out = append(out, n.Callers)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// taking returns the routers that take callers. This one is not among them while its catalog is too old to let keys in.
-func (r *Router) taking(now time.Time) []peer.Info {
+// acceptingRouters returns the routers that accept callers. This router is excluded while its
+// catalog is too old to accept keys.
+func (r *Router) acceptingRouters(now time.Time) []peer.Info {
 	fresh := r.opts.Relay.LetsIn(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/services/entry/entry_test.go
+++ b/services/entry/entry_test.go
@@ -30,7 +30,7 @@
 	"go.uber.org/goleak"
 )
 
-// script is a feed that answers one read after the other with what the test says.
+// script is a feed with scripted responses to reads.
 type script[T any] struct {
 	reads chan read[T]
 }
@@ -39,14 +39,15 @@
 	changes []services.Change[T]
 	next    services.Place
 	err     error
-	// whole says that the test expects a snapshot; from is where it expects changes to begin.
+	// whole reports whether a snapshot is expected; from is the expected start of a read of
+	// changes.
 	whole bool
 	from  services.Place
 }
 
 var errWrongRead = errors.New("wrong read")
 
-func (s *script[T]) take(ctx context.Context, whole bool, from services.Place) ([]services.Change[T], services.Place, error) {
+func (s *script[T]) respond(ctx context.Context, whole bool, from services.Place) ([]services.Change[T], services.Place, error) {
 	select {
 	case r := <-s.reads:
 		if r.whole != whole || r.from != from {
@@ -59,14 +60,15 @@
 }
 
 func (s *script[T]) Snapshot(ctx context.Context) ([]services.Change[T], services.Place, error) {
-	return s.take(ctx, true, services.Place{})
+	return s.respond(ctx, true, services.Place{})
 }
 
 func (s *script[T]) Changes(ctx context.Context, from services.Place, _ time.Duration) ([]services.Change[T], services.Place, error) {
-	return s.take(ctx, false, from)
+	return s.respond(ctx, false, from)
 }
 
-// TestFollow checks that a feed is read on after a failure, and as a whole after its records were trimmed.
+// TestFollow checks that a feed continues after a failed read, and is read in full after its
+// records were trimmed.
 func TestFollow(t *testing.T) {
 	one := 1
 	change := func(k string) []services.Change[int] { return []services.Change[int]{{Key: k, Value: &one}} }
@@ -88,14 +90,14 @@
 	defer cancel()
 	var got []string
 	var failures []error
-	var told []services.Place
-	var mark knowledge.Mark
+	var notified []services.Place
+	var mark knowledge.Watermark
 	f := &follower[int]{
 		feed: s, wake: make(chan struct{}, 1),
-		mark: func() knowledge.Mark { return mark },
-		mine: func(time.Time) bool { return true },
-		era:  func() services.Era { return 0 },
-		take: func(p knowledge.Part[int]) knowledge.Fit {
+		mark:     func() knowledge.Watermark { return mark },
+		isReader: func(time.Time) bool { return true },
+		era:      func() services.Era { return 0 },
+		apply: func(p knowledge.Part[int]) knowledge.Fit {
 			name := ""
 			for _, c := range p.Changes {
 				name += c.Key
@@ -103,14 +105,14 @@
 			if p.Whole {
 				name += "*"
 			}
-			mark = knowledge.Mark{Next: p.Next, AsOf: p.AsOf}
+			mark = knowledge.Watermark{Next: p.Next, AsOf: p.AsOf}
 			if got = append(got, name); len(got) == 5 {
 				cancel()
 			}
-			return knowledge.FitNews
+			return knowledge.FitNew
 		},
-		spread: func() { told = append(told, mark.Next) },
-		note: func(err error) {
+		notify: func() { notified = append(notified, mark.Next) },
+		onRead: func(err error) {
 			if err != nil && !errors.Is(err, context.Canceled) {
 				failures = append(failures, err)
 			}
@@ -120,33 +122,34 @@
 	if want := []string{"a*", "b", "", "c*", ""}; !slices.Equal(got, want) || len(failures) != 2 || errors.Is(failures[1], errWrongRead) {
 		t.Errorf("took %q, want %q; failures %v", got, want, failures)
 	}
-	if !slices.Equal(told, []services.Place{place(4), place(5), place(9)}) {
-		t.Errorf("told the others up to %v, want each time that more was known", told)
+	if !slices.Equal(notified, []services.Place{place(4), place(5), place(9)}) {
+		t.Errorf("told the others up to %v, want each time that more was known", notified)
 	}
 }
 
-// TestOthersRead checks that a router which does not read for all reads nothing while others tell it what is
-// new, asks those that know more, and reads by itself when they do not answer for a while.
+// TestOthersRead checks that a router that is not the reader does not read the store while others
+// send it updates. It pulls from those that are ahead, and reads by itself when they do not answer
+// for a while.
 func TestOthersRead(t *testing.T) {
 	s := &script[int]{reads: make(chan read[int])}
 	ctx, cancel := context.WithCancel(t.Context())
 	var mu sync.Mutex
-	mark := knowledge.Mark{Next: place(4), AsOf: time.Now().Add(time.Hour)}
+	mark := knowledge.Watermark{Next: place(4), AsOf: time.Now().Add(time.Hour)}
 	taken := make(chan knowledge.Part[int], 1)
 	answers := make(chan error)
 	f := &follower[int]{
 		feed: s, wake: make(chan struct{}, 1), ahead: make(chan string, 1), times: watch.NewTimes(2 * time.Second),
-		mine:   func(time.Time) bool { return false },
-		era:    func() services.Era { return 0 },
-		spread: func() {},
-		note:   func(error) {},
-		logger: zerolog.Nop(),
-		mark: func() knowledge.Mark {
+		isReader: func(time.Time) bool { return false },
+		era:      func() services.Era { return 0 },
+		notify:   func() {},
+		onRead:   func(error) {},
+		logger:   zerolog.Nop(),
+		mark: func() knowledge.Watermark {
 			mu.Lock()
 			defer mu.Unlock()
 			return mark
 		},
-		take: func(p knowledge.Part[int]) knowledge.Fit {
+		apply: func(p knowledge.Part[int]) knowledge.Fit {
 			mu.Lock()
 			defer mu.Unlock()
 			if mark.Next.Before(p.From) {
@@ -154,9 +157,9 @@
 			}
 			mark.Next = p.Next
 			taken <- p
-			return knowledge.FitNews
+			return knowledge.FitNew
 		},
-		ask: func(context.Context, string) (knowledge.Part[int], error) {
+		pull: func(context.Context, string) (knowledge.Part[int], error) {
 			return knowledge.Part[int]{From: place(4), Next: place(5)}, <-answers
 		},
 	}
@@ -165,18 +168,18 @@
 		defer close(done)
 		f.run(ctx)
 	}()
-	f.told("a", Extent{Known: true, Next: 4})
-	f.told("b", Extent{Known: true, Next: 5})
+	f.pullIfAhead("a", FeedProgress{Known: true, Next: 4})
+	f.pullIfAhead("b", FeedProgress{Known: true, Next: 5})
 	answers <- nil
 	if p := <-taken; p.Next != place(5) {
 		t.Errorf("took news up to %s", p.Next)
 	}
-	f.told("c", Extent{Known: true, Next: 8})
+	f.pullIfAhead("c", FeedProgress{Known: true, Next: 8})
 	answers <- errors.New("no answer")
 	f.mu.Lock()
-	f.behind = f.behind.Add(-behindMost)
+	f.behind = f.behind.Add(-maxBehind)
 	f.mu.Unlock()
-	f.stir()
+	f.wakeUp()
 	s.reads <- read[int]{from: place(5), next: place(8)}
 	if p := <-taken; p.From != place(5) || p.Next != place(8) {
 		t.Errorf("read from %s up to %s, want 5 to 8", p.From, p.Next)
@@ -190,8 +193,8 @@
 	<-done
 }
 
-// silent is a store that never answers.
-type silent struct{}
+// silentStore is a store that never answers.
+type silentStore struct{}
 
 type silentFeed[T any] struct{}
 
@@ -205,19 +208,23 @@
 	return nil, services.Place{}, ctx.Err()
 }
 
-func (silent) Catalogs() services.Feed[catalog.Catalog]    { return silentFeed[catalog.Catalog]{} }
-func (silent) Upstreams() services.Feed[upstream.Instance] { return silentFeed[upstream.Instance]{} }
-func (silent) Nodes() services.Feed[peer.Info]             { return silentFeed[peer.Info]{} }
-func (silent) Refused() services.Feed[quarantine.Entry]    { return silentFeed[quarantine.Entry]{} }
-func (silent) PutRefused(ctx context.Context, _ []quarantine.Entry, _ []string) error {
+func (silentStore) Catalogs() services.Feed[catalog.Catalog] { return silentFeed[catalog.Catalog]{} }
+
+func (silentStore) Upstreams() services.Feed[upstream.Instance] {
+	return silentFeed[upstream.Instance]{}
+}
+func (silentStore) Nodes() services.Feed[peer.Info]          { return silentFeed[peer.Info]{} }
+func (silentStore) Refused() services.Feed[quarantine.Entry] { return silentFeed[quarantine.Entry]{} }
+
+func (silentStore) PutRefused(ctx context.Context, _ []quarantine.Entry, _ []string) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
 // Era implements Store.
-func (silent) Era() services.Era { return 0 }
+func (silentStore) Era() services.Era { return 0 }
 
-func (silent) PutNodes(ctx context.Context, _ []peer.Info) error {
+func (silentStore) PutNodes(ctx context.Context, _ []peer.Info) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -227,7 +234,7 @@
 	return relay.New(relay.Options{Bounds: setting.Bounds{ApplyTime: time.Second, KeyFreshness: time.Hour, RetryWindow: time.Second}, Metrics: metrics.New("router"), Logger: zerolog.Nop()})
 }
 
-// router starts a router whose store never answers, with some seeds.
+// router starts a router with some seeds and a store that never answers.
 func router(t *testing.T, name string, seeds ...string) (*Router, *relay.Relay, string) {
 	t.Helper()
 	l, err := httpx.Listen("127.0.0.1:0")
@@ -239,7 +246,7 @@
 	address := l.Addr().String()
 	r := New(Options{
 		Self:  peer.Info{Name: name, Role: vm.RoleRouter, Address: address, Callers: "callers of " + name},
-		Seeds: seeds, Store: silent{}, Pool: pool, Relay: rl, Logger: zerolog.Nop(),
+		Seeds: seeds, Store: silentStore{}, Pool: pool, Relay: rl, Logger: zerolog.Nop(),
 	})
 	server := rpc.NewServer(l)
 	if err := server.Register("Router", NewAPI(r)); err != nil {
@@ -269,8 +276,8 @@
 	}
 }
 
-// TestBorrow starts a router while the store is out: it learns catalog and upstreams from another one,
-// with their age, takes callers, and is named to them until it leaves.
+// TestBorrow starts a router while the store is unavailable: it pulls catalog and upstreams with
+// their age from another router, becomes ready, and is listed for callers until it leaves.
 func TestBorrow(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("routers", func(t *testing.T) {
@@ -305,20 +312,20 @@
 	})
 }
 
-// keeper is a store that keeps refused requests.
-type keeper struct {
-	silent
+// refusedStore is a store that keeps refused requests.
+type refusedStore struct {
+	silentStore
 
 	entries map[string]quarantine.Entry
 	era     services.Era
 }
 
 // Era implements Store.
-func (k *keeper) Era() services.Era { return k.era }
+func (k *refusedStore) Era() services.Era { return k.era }
 
-func (k *keeper) Refused() services.Feed[quarantine.Entry] { return k }
+func (k *refusedStore) Refused() services.Feed[quarantine.Entry] { return k }
 
-func (k *keeper) Snapshot(context.Context) ([]services.Change[quarantine.Entry], services.Place, error) {
+func (k *refusedStore) Snapshot(context.Context) ([]services.Change[quarantine.Entry], services.Place, error) {
 	var out []services.Change[quarantine.Entry]
 	for name, e := range k.entries {
 		out = append(out, services.Change[quarantine.Entry]{Key: name, Value: &e})
@@ -326,11 +333,11 @@
 	return out, services.Place{Era: k.era}, nil
 }
 
-func (k *keeper) Changes(context.Context, services.Place, time.Duration) ([]services.Change[quarantine.Entry], services.Place, error) {
+func (k *refusedStore) Changes(context.Context, services.Place, time.Duration) ([]services.Change[quarantine.Entry], services.Place, error) {
 	return nil, services.Place{}, errWrongRead
 }
 
-func (k *keeper) PutRefused(_ context.Context, entries []quarantine.Entry, drop []string) error {
+func (k *refusedStore) PutRefused(_ context.Context, entries []quarantine.Entry, drop []string) error {
 	for _, e := range entries {
 		k.entries[e.Name()] = e
 	}
@@ -340,15 +347,16 @@
 	return nil
 }
 
-// TestKeepRefused checks that refused requests are kept for as long as they are refused, and known to a router that starts anew.
+// TestKeepRefused checks that refused requests are stored for as long as they are refused, and
+// known to a restarted router.
 func TestKeepRefused(t *testing.T) {
-	store := &keeper{entries: map[string]quarantine.Entry{}}
+	store := &refusedStore{entries: map[string]quarantine.Entry{}}
 	start := func() (*Router, *registry) {
 		return New(Options{Self: peer.Info{Name: "a"}, Store: store, Relay: quietRelay(), Logger: zerolog.Nop()}), &registry{}
 	}
 	keep := func(r *Router, known *registry, want int) {
 		t.Helper()
-		if err := r.keepRefused(t.Context(), known); err != nil || len(store.entries) != want {
+		if err := r.storeRefused(t.Context(), known); err != nil || len(store.entries) != want {
 			t.Errorf("%d requests are kept, want %d; %v", len(store.entries), want, err)
 		}
 	}
@@ -370,15 +378,15 @@
 	keep(r, known, 0)
 }
 
-// TestKeepRefusedAfterReturn has the store come back from a copy: what was kept since is kept again, and what was dropped since is dropped
-// again and not refused.
+// TestKeepRefusedAfterReturn restores the store from a copy: entries stored since the copy are
+// stored again, and entries dropped since are dropped again and not refused.
 func TestKeepRefusedAfterReturn(t *testing.T) {
-	store := &keeper{entries: map[string]quarantine.Entry{}, era: 1}
+	store := &refusedStore{entries: map[string]quarantine.Entry{}, era: 1}
 	r := New(Options{Self: peer.Info{Name: "a"}, Store: store, Relay: quietRelay(), Logger: zerolog.Nop()})
 	var known registry
 	keep := func(what string, want int) {
 		t.Helper()
-		if err := r.keepRefused(t.Context(), &known); err != nil || len(store.entries) != want {
+		if err := r.storeRefused(t.Context(), &known); err != nil || len(store.entries) != want {
 			t.Errorf("%s: %d requests are kept, want %d; %v", what, len(store.entries), want, err)
 		}
 	}
@@ -409,8 +417,8 @@
 	keep("after another return", 1)
 }
 
-// TestReloadSeeds has settings change while the router starts, with the race detector: a soak met a router that read its seeds as they were
-// replaced.
+// TestReloadSeeds changes the settings while the router starts, for the race detector: a router
+// read its seeds while they were being replaced.
 func TestReloadSeeds(t *testing.T) {
 	r, _, address := router(t, "a", "127.0.0.1:1")
 	for range 50 {
--- a/services/entry/follow.go
+++ b/services/entry/follow.go
@@ -21,67 +21,69 @@
 )
 
 const (
-	// restMost bounds a rest between two looks at whether a feed is to be read: the choice of the reader
-	// changes as routers come and go.
-	restMost = 200 * time.Millisecond
-	// askTime bounds a question for what another router knows. Whole catalogs are large, and links slow.
-	askTime = 1200 * time.Millisecond
-	// behindMost is how long a router that knows less than others asks them, before it reads the store itself.
-	behindMost = 600 * time.Millisecond
+	// maxPollWait bounds the sleep between two checks whether the feed is to be read: the chosen
+	// reader changes as routers start and stop.
+	maxPollWait = 200 * time.Millisecond
+	// pullTimeout bounds a pull from another router. Full catalogs are large, and links may be
+	// slow.
+	pullTimeout = 1200 * time.Millisecond
+	// maxBehind is how long a router that is behind pulls from others before it reads the store
+	// itself.
+	maxBehind = 600 * time.Millisecond
 )
 
-// follower keeps what is known of one feed up to date. It reads the store when that is this router's turn, and asks
-// other routers that know more.
+// follower keeps the local state of one feed up to date. It reads the store while this router is
+// the chosen reader, and pulls from other routers that are ahead.
 type follower[T any] struct {
-	// name is what the feed is called in logs and in the choice of its reader.
+	// name is the name of the feed in logs and in the choice of its reader.
 	name string
 	feed services.Feed[T]
-	// mark returns how far the feed is known, and take takes in more of it. Version returns that of the catalog in force; nil for other
-	// feeds.
-	mark    func() knowledge.Mark
+	// mark returns the read position of the feed, and apply applies a segment of it. version
+	// returns that of the catalog in force; nil for other feeds.
+	mark    func() knowledge.Watermark
 	version func() catalog.Version
-	take    func(p knowledge.Part[T]) knowledge.Fit
+	apply   func(p knowledge.Part[T]) knowledge.Fit
 	// era returns the newest era of the store that is known here.
 	era func() services.Era
-	// settles returns the time from which reads prove again that nothing newer was accepted, and whether none has yet; nil for feeds that
-	// prove nothing.
-	settles func() (from time.Time, ok bool)
-	// ask asks the router at an address for what is not known here.
-	ask func(ctx context.Context, address string) (knowledge.Part[T], error)
-	// mine reports whether this router reads the feed for all.
-	mine func(now time.Time) bool
-	// spread has the other routers told that more is known here.
-	spread func()
-	// note gets the outcome of each read.
-	note   func(err error)
+	// proofFrom returns the time from which reads can confirm again that nothing newer was
+	// accepted, and whether that confirmation is still missing; nil for feeds without confirmation.
+	proofFrom func() (from time.Time, ok bool)
+	// pull pulls the missing segment from the router at an address.
+	pull func(ctx context.Context, address string) (knowledge.Part[T], error)
+	// isReader reports whether this router is the reader of the feed.
+	isReader func(now time.Time) bool
+	// notify notifies the other routers that this one has advanced.
+	notify func()
+	// onRead is called with the result of each read.
+	onRead func(err error)
 	logger zerolog.Logger
 	wake   chan struct{}
-	// ahead takes the address of a router that knows more.
+	// ahead receives the address of a router that is ahead of this one.
 	ahead chan string
 
-	mu      sync.Mutex
-	times   watch.Times
-	patient time.Time
-	// most is the furthest that another router is known to know the feed, or the store to have begun it anew, and behind since when
-	// that is further than here; zero if it is not.
-	most     reach
+	mu          sync.Mutex
+	times       watch.Times
+	firstReadAt time.Time
+	// furthest is the furthest position reported by another router, or the start of a new store
+	// era. behind is since when this router has not reached it; zero if it has.
+	furthest progress
 	behind   time.Time
 	trimmed  bool
 	failures int
-	tried    time.Time
+	failedAt time.Time
 }
 
-// reach tells how far a feed is known: up to a place, and up to a version, which the store may have lost since.
-type reach struct {
+// progress is a position in a feed and a version, which the store may have lost since.
+type progress struct {
 	next    services.Place
 	version catalog.Version
 }
 
-// covers reports whether nothing of another reach is missing.
-func (r reach) covers(o reach) bool { return !r.next.Before(o.next) && r.version >= o.version }
+// covers reports whether r includes everything in o.
+func (r progress) covers(o progress) bool { return !r.next.Before(o.next) && r.version >= o.version }
 
-// join returns what is known by either.
-func (r reach) join(o reach) reach {
+// join returns the union of both.
+func (r progress) join(o progress) progress {
 	if r.next.Before(o.next) {
 		r.next = o.next
 	}
@@ -89,9 +91,9 @@
 	return r
 }
 
-// reach returns how far the feed is known here.
-func (f *follower[T]) reach() reach {
-	r := reach{next: f.mark().Next}
+// progress returns the local progress in the feed.
+func (f *follower[T]) progress() progress {
+	r := progress{next: f.mark().Next}
 	if f.version != nil {
 		r.version = f.version()
 	}
@@ -102,67 +104,68 @@
 func (f *follower[T]) run(ctx context.Context) {
 	var w sync.WaitGroup
 	defer w.Wait()
-	w.Go(func() { f.askAhead(ctx) })
+	w.Go(func() { f.runPulls(ctx) })
 	for ctx.Err() == nil {
 		now := clock.Now()
 		reading, times := f.reading(now)
 		if wait := times.Next(now, reading).Sub(now); wait > 0 {
-			f.rest(ctx, min(wait, restMost))
+			f.sleep(ctx, min(wait, maxPollWait))
 			continue
 		}
 		wait := time.Duration(0)
 		if reading.Mine {
-			wait = f.patience(now, times.Wait)
+			wait = f.maxWait(now, times.Wait)
 		}
 		f.read(ctx, wait)
 	}
 }
 
-// patience returns how long a read may wait for news. A proof that is due is not put off by one that was sent before.
-func (f *follower[T]) patience(now time.Time, most time.Duration) time.Duration {
-	if f.settles == nil {
-		return most
+// maxWait returns how long a read may wait for changes. A read that is due to confirm the catalog
+// is not delayed by an earlier long poll.
+func (f *follower[T]) maxWait(now time.Time, limit time.Duration) time.Duration {
+	if f.proofFrom == nil {
+		return limit
 	}
-	from, ok := f.settles()
+	from, ok := f.proofFrom()
 	if !ok {
-		return most
+		return limit
 	}
-	return min(max(from.Sub(now), 0), most)
+	return min(max(from.Sub(now), 0), limit)
 }
 
-// rebound takes over new times.
-func (f *follower[T]) rebound(t watch.Times) {
+// setTimes sets new times.
+func (f *follower[T]) setTimes(t watch.Times) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.times = t
 }
 
-// wait has the first read put off until a time, so that other routers can be asked instead.
-func (f *follower[T]) wait(until time.Time) {
+// delayFirstRead delays the first read until a time, so that other routers can be asked instead.
+func (f *follower[T]) delayFirstRead(until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.patient = until
+	f.firstReadAt = until
 }
 
 func (f *follower[T]) reading(now time.Time) (watch.Reading, watch.Times) {
 	mark := f.mark()
-	mine := f.mine(now)
+	isReader := f.isReader(now)
 	if mark.Known() {
-		f.fallBehind(now, reach{next: services.Place{Era: f.era()}})
+		f.recordFurthest(now, progress{next: services.Place{Era: f.era()}})
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	behind := !f.behind.IsZero() && now.Sub(f.behind) > behindMost
+	behind := !f.behind.IsZero() && now.Sub(f.behind) > maxBehind
 	var anew time.Time
-	if f.most.next.Era > mark.Next.Era && !f.behind.IsZero() {
-		anew = f.behind.Add(behindMost)
+	if f.furthest.next.Era > mark.Next.Era && !f.behind.IsZero() {
+		anew = f.behind.Add(maxBehind)
 	}
 	return watch.Reading{
-		Known: mark.Known(), Anew: anew, AsOf: mark.AsOf, Mine: mine, Behind: behind || f.trimmed, Patient: f.patient, Failures: f.failures, Tried: f.tried,
+		Known: mark.Known(), Anew: anew, AsOf: mark.AsOf, Mine: isReader, Behind: behind || f.trimmed, Patient: f.firstReadAt, Failures: f.failures, Tried: f.failedAt,
 	}, f.times
 }
 
-func (f *follower[T]) rest(ctx context.Context, d time.Duration) {
+func (f *follower[T]) sleep(ctx context.Context, d time.Duration) {
 	cctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
 	select {
@@ -171,11 +174,11 @@
 	}
 }
 
-// read reads the feed once, and waits for news that long.
+// read reads the feed once, and waits up to the given time for changes.
 func (f *follower[T]) read(ctx context.Context, wait time.Duration) {
 	mark := f.mark()
 	f.mu.Lock()
-	whole := !mark.Known() || f.trimmed || f.most.next.Era > mark.Next.Era
+	whole := !mark.Known() || f.trimmed || f.furthest.next.Era > mark.Next.Era
 	f.mu.Unlock()
 	p := knowledge.Part[T]{Whole: whole, From: mark.Next, AsOf: clock.Now()}
 	var err error
@@ -189,55 +192,56 @@
 	switch {
 	case errors.As(err, &trimmed):
 		f.logger.Warn().Str("feed", f.name).Stringer("from", trimmed.From).Msg("feed-trimmed")
-		f.ended(true, nil)
+		f.recordResult(true, nil)
 		return
 	case errors.As(err, &returned) && returned.Era > returned.From.Era:
 		f.logger.Warn().Str("feed", f.name).Stringer("from", returned.From).Uint64("era", uint64(returned.Era)).Msg("feed-begun-anew")
-		f.fallBehind(clock.Now(), reach{next: services.Place{Era: returned.Era}})
-		f.ended(false, nil)
+		f.recordFurthest(clock.Now(), progress{next: services.Place{Era: returned.Era}})
+		f.recordResult(false, nil)
 		return
 	}
-	f.note(err)
-	f.ended(false, err)
+	f.onRead(err)
+	f.recordResult(false, err)
 	if err != nil {
-		// Routers that fail at the same time do not come back at the same time.
+		// Random pause, so that routers that fail at the same time do not retry at the same time.
 		sleep.For(ctx, time.Duration(rand.Int64N(int64(failureSpread)))) //nolint:gosec // no secret
 		return
 	}
-	f.learn(p)
+	f.advance(p)
 	f.caughtUp()
 }
 
-// caughtUp notes that the store was just read: it has nothing further.
+// caughtUp records that the store was just read and has no later records.
 func (f *follower[T]) caughtUp() {
-	own := f.reach()
+	own := f.progress()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.most, f.behind = own, time.Time{}
+	f.furthest, f.behind = own, time.Time{}
 }
 
-// failureSpread bounds the pause by chance after a read that failed.
+// failureSpread bounds the random pause after a failed read.
 const failureSpread = 150 * time.Millisecond
 
-// ended notes the end of a read. Trimmed says that the records from the mark on are no longer kept.
-func (f *follower[T]) ended(trimmed bool, err error) {
+// recordResult records the result of a read. trimmed reports whether the records from the watermark
+// on are no longer kept.
+func (f *follower[T]) recordResult(trimmed bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
 		f.failures++
-		f.tried = clock.Now()
+		f.failedAt = clock.Now()
 		return
 	}
 	f.failures, f.trimmed = 0, trimmed
 }
 
-// learn takes in a part of the feed, and has others told if it is news.
-func (f *follower[T]) learn(p knowledge.Part[T]) knowledge.Fit {
+// advance applies a segment of the feed, and notifies other routers if the position has advanced.
+func (f *follower[T]) advance(p knowledge.Part[T]) knowledge.Fit {
 	before := f.mark()
-	fit := f.take(p)
-	after := f.reach()
+	fit := f.apply(p)
+	after := f.progress()
 	f.mu.Lock()
-	if after.covers(f.most) {
+	if after.covers(f.furthest) {
 		f.behind = time.Time{}
 	}
 	f.mu.Unlock()
@@ -246,85 +250,85 @@
 			Uint64("version", uint64(after.version)).Int("records", len(p.Changes)).Msg("feed-returned")
 	}
 	if after.next != before.Next || !before.Known() {
-		f.spread()
+		f.notify()
 	}
 	return fit
 }
 
-// confirmed takes in how far a router knows the feed that has answered a greeting sent at a time.
-func (f *follower[T]) confirmed(sent time.Time, address string, theirs Extent) {
+// applyReply applies the read position of a router in its reply to a gossip message sent at a time.
+func (f *follower[T]) applyReply(sent time.Time, address string, theirs FeedProgress) {
 	if !theirs.Known {
 		return
 	}
-	f.take(knowledge.Part[T]{From: theirs.place(), Next: theirs.place(), AsOf: theirs.asOf(sent), Vouch: theirs.vouch(sent)})
-	f.told(address, theirs)
+	f.apply(knowledge.Part[T]{From: theirs.position(), Next: theirs.position(), AsOf: theirs.asOf(sent), Vouch: theirs.confirmation(sent)})
+	f.pullIfAhead(address, theirs)
 }
 
-// told notes how far a router knows the feed, and asks it if that is further than here.
-func (f *follower[T]) told(address string, theirs Extent) {
-	if !theirs.Known || !f.fallBehind(clock.Now(), reach{next: theirs.place(), version: theirs.Version}) || address == "" {
+// pullIfAhead records the read position of another router, and pulls from it if it is ahead.
+func (f *follower[T]) pullIfAhead(address string, theirs FeedProgress) {
+	if !theirs.Known || !f.recordFurthest(clock.Now(), progress{next: theirs.position(), version: theirs.Version}) || address == "" {
 		return
 	}
 	select {
 	case f.ahead <- address:
-	default: // another one is about to be asked
+	default: // another pull is already pending
 	}
 }
 
-// fallBehind notes how far the feed goes, and reports whether it is not known here so far.
-func (f *follower[T]) fallBehind(now time.Time, theirs reach) bool {
-	known, own := f.mark().Known(), f.reach()
+// recordFurthest records how far the feed goes, and reports whether this router is behind that.
+func (f *follower[T]) recordFurthest(now time.Time, theirs progress) bool {
+	known, own := f.mark().Known(), f.progress()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if known && own.covers(theirs) {
 		return false
 	}
-	f.most = f.most.join(theirs)
+	f.furthest = f.furthest.join(theirs)
 	if f.behind.IsZero() {
 		f.behind = now
 	}
 	return true
 }
 
-// askAhead asks routers that know more, one after the other, until ctx ends.
-func (f *follower[T]) askAhead(ctx context.Context) {
+// runPulls pulls from routers that are ahead, one at a time, until ctx ends.
+func (f *follower[T]) runPulls(ctx context.Context) {
 	for {
 		select {
 		case address := <-f.ahead:
-			f.askOne(ctx, address)
+			f.pullFrom(ctx, address)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// askOne asks a router for what is not known here.
-func (f *follower[T]) askOne(ctx context.Context, address string) {
+// pullFrom pulls the missing segment from a router.
+func (f *follower[T]) pullFrom(ctx context.Context, address string) {
 	f.mu.Lock()
 	behind := !f.behind.IsZero()
 	f.mu.Unlock()
 	if !behind {
-		return // it has become known meanwhile
+		return // caught up meanwhile
 	}
-	cctx, cancel := context.WithTimeout(ctx, askTime)
+	cctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	asked := clock.Now()
-	p, err := f.ask(cctx, address)
+	p, err := f.pull(cctx, address)
 	if err != nil {
-		f.logger.Warn().Str("feed", f.name).Str("from", address).Err(err).Msg("feed-not-told")
+		f.logger.Warn().Str("feed", f.name).Str("from", address).Err(err).Msg("feed-pull-failed")
 		return
 	}
-	fit := f.learn(p)
+	fit := f.advance(p)
 	f.logger.Info().Str("feed", f.name).Str("from", address).Stringer("next", p.Next).Int64("age_ms", asked.Sub(p.AsOf).Milliseconds()).
-		Bool("whole", p.Whole).Int("records", len(p.Changes)).Str("fit", string(fit)).Msg("feed-told")
-	f.stir()
+		Bool("whole", p.Whole).Int("records", len(p.Changes)).Str("fit", string(fit)).Msg("feed-pulled")
+	f.wakeUp()
 }
 
-// stir has the feed looked at now.
-func (f *follower[T]) stir() {
+// wakeUp wakes up the read loop.
+func (f *follower[T]) wakeUp() {
 	select {
 	case f.wake <- struct{}{}:
-	default: // it is awake
+	default: // a wake-up is already pending
 	}
 }
 
--- a/services/entry/hearsay.go
+++ b/services/entry/hearsay.go
@@ -12,31 +12,32 @@
 	"fawnwinch.org/fawnwinch/services/relay"
 )
 
-// maxMarks bounds the routers of which it is kept how far their knowledge was taken in: VMs come and go under new addresses.
-// Without a mark all is told again.
-const maxMarks = 1024
+// maxWatermarks bounds the routers with a stored watermark: VMs come and go under new addresses.
+// Without a watermark, the full state is sent again.
+const maxWatermarks = 1024
 
-// Marks tells how far a router's knowledge of upstreams has come that no feed of the store holds.
-type Marks struct {
-	// Crashes is that of the register of requests under which upstreams have ended, and Limits that of the limits of upstreams.
+// Watermarks are the watermarks of a router's state of upstreams that is in no feed of the store.
+type Watermarks struct {
+	// Crashes is the watermark of the register of requests that crashed upstreams, and Limits that
+	// of the rate limits of upstreams.
 	Crashes, Limits peer.Mark
 }
 
-// empty reports whether there is nothing to tell.
-func (m Marks) empty() bool { return m.Crashes.Position == 0 && m.Limits.Position == 0 }
+// empty reports whether there is nothing to pull.
+func (m Watermarks) empty() bool { return m.Crashes.Position == 0 && m.Limits.Position == 0 }
 
-// Hearsay is what a router knows beyond the marks of another one.
-type Hearsay struct {
-	Marks   Marks
+// GossipedState is the gossip state of a router beyond the requester's watermarks.
+type GossipedState struct {
+	Marks   Watermarks
 	Crashes []quarantine.Crash
 	Limits  []relay.NamedLimit
 }
 
-// Hearsay tells which requests upstreams have ended under, all changes after a mark of this router's register, and which upstreams limit
-// their requests.
-func (a *API) Hearsay(since Marks, reply *Hearsay) error {
+// Hearsay returns the changes after a watermark in the register of requests that crashed upstreams,
+// and the upstreams that limit their request rate.
+func (a *API) Hearsay(since Watermarks, reply *GossipedState) error {
 	now := clock.Now()
-	reply.Marks = a.r.marks()
+	reply.Marks = a.r.watermarks()
 	a.r.opts.Relay.Crashes(func(g *quarantine.Register) { reply.Crashes = g.Since(now, since.Crashes) })
 	if since.Limits != reply.Marks.Limits {
 		reply.Limits = a.r.opts.Relay.Limits(now)
@@ -44,74 +45,76 @@
 	return nil
 }
 
-// marks returns how far this router's knowledge has come.
-func (r *Router) marks() Marks {
-	m := Marks{Limits: r.opts.Relay.LimitMark()}
+// watermarks returns the watermarks of this router.
+func (r *Router) watermarks() Watermarks {
+	m := Watermarks{Limits: r.opts.Relay.LimitMark()}
 	r.opts.Relay.Crashes(func(g *quarantine.Register) { m.Crashes = g.Mark() })
 	return m
 }
 
-// marksTold notes how far the knowledge of a router has come, and has it asked if that is further than was taken in here. Asking
-// takes a message of its own, so that greetings stay short; mostly there is nothing to ask.
-func (r *Router) marksTold(address string, theirs Marks) {
+// pullIfAhead compares a router's watermarks with the merged ones, and schedules a pull if it is
+// ahead. A pull is a separate message that keeps gossip messages short; usually there is nothing to
+// pull.
+func (r *Router) pullIfAhead(address string, theirs Watermarks) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if address == "" || theirs.empty() || r.heardMarks[address] == theirs {
+	if address == "" || theirs.empty() || r.mergedMarks[address] == theirs {
 		return
 	}
 	select {
-	case r.knowsMore <- address:
-	default: // the next greeting tells again
+	case r.ahead <- address:
+	default: // the next gossip message triggers it again
 	}
 }
 
-// askHearsay asks routers whose knowledge has come further, one after the other, until ctx ends.
-func (r *Router) askHearsay(ctx context.Context) {
+// runPulls pulls from routers that are ahead, one at a time, until ctx ends.
+func (r *Router) runPulls(ctx context.Context) {
 	for {
 		select {
-		case address := <-r.knowsMore:
-			r.askHearsayOf(ctx, address)
+		case address := <-r.ahead:
+			r.pullFrom(ctx, address)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// askHearsayOf takes in what a router knows.
-func (r *Router) askHearsayOf(ctx context.Context, address string) {
+// pullFrom pulls and merges the gossip state of a router.
+func (r *Router) pullFrom(ctx context.Context, address string) {
 	r.mu.Lock()
-	since := r.heardMarks[address]
+	since := r.mergedMarks[address]
 	r.mu.Unlock()
-	cctx, cancel := context.WithTimeout(ctx, askTime)
+	cctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	asked := clock.Now()
-	var h Hearsay
+	var h GossipedState
 	if err := r.opts.Pool.Call(cctx, address, "Router.Hearsay", since, &h); err != nil {
-		r.opts.Logger.Warn().Str("from", address).Err(err).Msg("hearsay-not-told")
+		r.opts.Logger.Warn().Str("from", address).Err(err).Msg("gossip-pull-failed")
 		return
 	}
 	r.opts.Relay.LearnLimits(asked, h.Limits)
-	r.learnCrashes(address, h.Crashes)
+	r.mergeCrashes(address, h.Crashes)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.heardMarks) >= maxMarks {
-		clear(r.heardMarks)
+	if len(r.mergedMarks) >= maxWatermarks {
+		clear(r.mergedMarks)
 	}
-	r.heardMarks[address] = h.Marks
+	r.mergedMarks[address] = h.Marks
 }
 
-// learnCrashes takes in ends of upstreams that another router tells of, and has others told if there is something new.
-func (r *Router) learnCrashes(from string, crashes []quarantine.Crash) {
-	now, news := clock.Now(), 0
+// mergeCrashes merges crashes of upstreams reported by another router, and notifies the neighbours
+// if any was new.
+func (r *Router) mergeCrashes(from string, crashes []quarantine.Crash) {
+	now, added := clock.Now(), 0
 	r.opts.Relay.Crashes(func(g *quarantine.Register) {
 		for _, c := range crashes {
 			if g.Add(now, c) {
-				news++
+				added++
 			}
 		}
 	})
-	if news > 0 {
-		r.opts.Logger.Info().Str("from", from).Int("told", len(crashes)).Int("news", news).Int("refused", r.opts.Relay.Refused(now)).Msg("crashes-told")
-		r.spread()
+	if added > 0 {
+		r.opts.Logger.Info().Str("from", from).Int("told", len(crashes)).Int("news", added).Int("refused", r.opts.Relay.Refused(now)).Msg("crashes-told")
+		r.triggerGossip()
 	}
 }
--- a/services/entry/named.go
+++ b/services/entry/named.go
@@ -14,21 +14,24 @@
 )
 
 const (
-	// fewRouters is the number of routers up to which callers are named all of them.
-	fewRouters = 12
-	// namedRouters is the number of routers of a data centre that callers are named, beside those that are busy. Three
-	// serve on when two are lost. More would know less: a router that gets a request a second goes by a report for each,
-	// keeps no connection long enough to use it again, and has its part of each rank's places unused.
-	namedRouters = 3
-	// busyAbove is the part of its processor time from which a router is busy, so that another is named beside it, and
-	// calmBelow that below which it no longer is. Half of a router's requests may come to each of the others at once.
+	// listAllMax is the number of routers up to which callers get the addresses of all of them.
+	listAllMax = 12
+	// idleRoutersListed is the number of idle routers of a data centre that callers get; busy ones
+	// are listed in addition. Three still serve when two are lost. With more, each router would be
+	// less informed: a router that gets one request per second has one load report per request,
+	// keeps no connection long enough to reuse it, and leaves its quota at each rank unused.
+	idleRoutersListed = 3
+	// busyAbove is the fraction of its processor time above which a router is busy, so that another
+	// is listed beside it. It is idle again below idleBelow. Half of a router's requests may move
+	// to each of the others at once.
 	busyAbove = 0.25
-	calmBelow = 0.1
+	idleBelow = 0.1
 )
 
-// named returns the routers of a data centre that its callers are named: the ones with the largest share of processor
-// cores, in an order that all routers agree on, and more as those are busy.
-func named(routers []peer.Info, dc vm.DataCentre) []peer.Info {
+// selectRouters returns the routers that the callers of a data centre get: those with the most
+// processor cores first, in an order that is the same on all routers, and more of them while some
+// are busy.
+func selectRouters(routers []peer.Info, dc vm.DataCentre) []peer.Info {
 	var near []peer.Info
 	for _, r := range routers {
 		if r.DataCentre == dc {
@@ -43,27 +46,28 @@
 		if !r.Busy {
 			calm++
 		}
-		if calm == namedRouters {
+		if calm == idleRoutersListed {
 			return near[:i+1]
 		}
 	}
 	return near
 }
 
-// namedTo returns the routers that the callers of a data centre are named: those of it, or of all if it has none.
-func namedTo(routers []peer.Info, dc vm.DataCentre) []peer.Info {
-	if len(routers) <= fewRouters {
+// routersFor returns the routers that the callers of a data centre get: routers there, or of all
+// data centres if it has none.
+func routersFor(routers []peer.Info, dc vm.DataCentre) []peer.Info {
+	if len(routers) <= listAllMax {
 		return routers
 	}
-	if near := named(routers, dc); len(near) > 0 {
+	if near := selectRouters(routers, dc); len(near) > 0 {
 		return near
 	}
-	return namedAnywhere(routers)
+	return routersForAll(routers)
 }
 
-// namedAnywhere returns the routers that are named to callers of any data centre.
-func namedAnywhere(routers []peer.Info) []peer.Info {
-	if len(routers) <= fewRouters {
+// routersForAll returns the routers that callers of any data centre get.
+func routersForAll(routers []peer.Info) []peer.Info {
+	if len(routers) <= listAllMax {
 		return routers
 	}
 	var out []peer.Info
@@ -71,7 +75,7 @@
 	for _, r := range routers {
 		if !seen[r.DataCentre] {
 			seen[r.DataCentre] = true
-			out = append(out, named(routers, r.DataCentre)...)
+			out = append(out, selectRouters(routers, r.DataCentre)...)
 		}
 	}
 	return out
--- a/services/entry/named_test.go
+++ b/services/entry/named_test.go
@@ -12,7 +12,7 @@
 	"fawnwinch.org/fawnwinch/services/peer"
 )
 
-// fleet returns routers of some data centres, the first of each with more processor cores than the others.
+// fleet returns routers of some data centres; the first ones of each have more processor cores.
 func fleet(dataCentres, each, large int) []peer.Info {
 	var out []peer.Info
 	for d := range dataCentres {
@@ -27,7 +27,8 @@
 	return out
 }
 
-// TestNamed checks which routers callers are named: a few of their data centre, large ones first, and more as those are busy.
+// TestNamed checks which routers callers get: a few of their data centre, large ones first, and
+// more while those are busy.
 func TestNamed(t *testing.T) {
 	busy := func(rs []peer.Info, n int) []peer.Info {
 		for i := range n {
@@ -41,44 +42,44 @@
 		want    int
 	}{
 		"few routers: all":                   {fleet(3, 4, 0), "dc-0", 12},
-		"many: some of the data centre":      {fleet(5, 30, 2), "dc-0", namedRouters},
-		"two are busy: two more":             {busy(fleet(5, 30, 2), 2), "dc-0", namedRouters + 2},
+		"many: some of the data centre":      {fleet(5, 30, 2), "dc-0", idleRoutersListed},
+		"two are busy: two more":             {busy(fleet(5, 30, 2), 2), "dc-0", idleRoutersListed + 2},
 		"all are busy: all":                  {busy(fleet(5, 30, 2), 30), "dc-0", 30},
 		"a small data centre":                {fleet(10, 2, 0), "dc-0", 2},
-		"a data centre without routers":      {fleet(5, 30, 2), "elsewhere", 5 * namedRouters},
-		"busy ones of another do not matter": {busy(fleet(5, 30, 2), 30), "dc-1", namedRouters},
+		"a data centre without routers":      {fleet(5, 30, 2), "elsewhere", 5 * idleRoutersListed},
+		"busy ones of another do not matter": {busy(fleet(5, 30, 2), 30), "dc-1", idleRoutersListed},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := namedTo(c.routers, c.dc)
+			got := routersFor(c.routers, c.dc)
 			if len(got) != c.want {
 				t.Fatalf("%d routers, want %d", len(got), c.want)
 			}
 			slices.Reverse(c.routers)
-			if again := namedTo(c.routers, c.dc); c.want == namedRouters && !slices.Equal(got, again) {
+			if again := routersFor(c.routers, c.dc); c.want == idleRoutersListed && !slices.Equal(got, again) {
 				t.Errorf("routers with another order of the same list name others: %v, %v", got, again)
 			}
 		})
 	}
-	got := namedTo(fleet(5, 30, 2), "dc-3")
+	got := routersFor(fleet(5, 30, 2), "dc-3")
 	if got[0].Cores != 0.8 || got[1].Cores != 0.8 || got[2].Cores != 0.4 {
 		t.Errorf("the large ones are not first: %v", got)
 	}
 }
 
-// TestNamedStays checks that the loss of one router changes no more than one of those that callers are named.
+// TestNamedStays checks that the loss of one router replaces only that one in the list for callers.
 func TestNamedStays(t *testing.T) {
 	all := fleet(5, 30, 0)
-	before := namedTo(all, "dc-2")
+	before := routersFor(all, "dc-2")
 	for _, lost := range before {
-		after := namedTo(slices.DeleteFunc(slices.Clone(all), func(r peer.Info) bool { return r.Name == lost.Name }), "dc-2")
+		after := routersFor(slices.DeleteFunc(slices.Clone(all), func(r peer.Info) bool { return r.Name == lost.Name }), "dc-2")
 		kept := 0
 		for _, r := range after {
 			if slices.Contains(before, r) {
 				kept++
 			}
 		}
-		if len(after) != namedRouters || kept != namedRouters-1 {
+		if len(after) != idleRoutersListed || kept != idleRoutersListed-1 {
 			t.Errorf("without %s %d of the others are still named, and %d in all", lost.Name, kept, len(after))
 		}
 	}
--- a/services/entry/news.go
+++ b/services/entry/news.go
@@ -15,28 +15,28 @@
 	"fawnwinch.org/fawnwinch/services/knowledge"
 )
 
-// askCatalogs asks another router for the newest catalog.
-func (r *Router) askCatalogs(ctx context.Context, address string) (knowledge.Part[catalog.Catalog], error) {
+// pullCatalogs pulls the newest catalog from another router.
+func (r *Router) pullCatalogs(ctx context.Context, address string) (knowledge.Part[catalog.Catalog], error) {
 	var base *catalog.Catalog
-	var known Since
+	var known DeltaRequest
 	r.opts.Relay.Know(func(s *knowledge.State) {
 		if s.Index() != nil {
-			base, known = s.Index().Catalog, since(s.Catalogs())
+			base, known = s.Index().Catalog, deltaRequest(s.Catalogs())
 			known.Version = base.Version
 		}
 	})
 	asked := clock.Now()
-	var n CatalogNews
+	var n CatalogDelta
 	p := knowledge.Part[catalog.Catalog]{Whole: true}
 	if err := r.opts.Pool.Call(ctx, address, "Router.Catalogs", known, &n); err != nil {
-		return p, fmt.Errorf("ask for catalogs: %w", err)
+		return p, fmt.Errorf("pull catalogs: %w", err)
 	}
-	p.Next, p.AsOf, p.Vouch = n.Extent.place(), n.Extent.asOf(asked), n.Extent.vouch(asked)
+	p.Next, p.AsOf, p.Vouch = n.Extent.position(), n.Extent.asOf(asked), n.Extent.confirmation(asked)
 	newest := n.Whole
 	if n.Change != nil {
 		changed, ok := base.Changed(n.Change)
 		if !ok {
-			return p, fmt.Errorf("change of catalog %d was told, catalog %d is known", n.Change.Base, base.Version)
+			return p, fmt.Errorf("received a change from catalog %d, but have catalog %d", n.Change.Base, base.Version)
 		}
 		newest = changed
 	}
@@ -46,33 +46,33 @@
 	return p, nil
 }
 
-// askUpstreams asks another router for the upstreams.
-func (r *Router) askUpstreams(ctx context.Context, address string) (knowledge.Part[upstream.Instance], error) {
+// pullUpstreams pulls the upstreams from another router.
+func (r *Router) pullUpstreams(ctx context.Context, address string) (knowledge.Part[upstream.Instance], error) {
 	mark := r.upstreams.mark()
 	asked := clock.Now()
-	var n UpstreamNews
-	if err := r.opts.Pool.Call(ctx, address, "Router.Upstreams", since(mark), &n); err != nil {
-		return knowledge.Part[upstream.Instance]{}, fmt.Errorf("ask for upstreams: %w", err)
+	var n UpstreamDelta
+	if err := r.opts.Pool.Call(ctx, address, "Router.Upstreams", deltaRequest(mark), &n); err != nil {
+		return knowledge.Part[upstream.Instance]{}, fmt.Errorf("pull upstreams: %w", err)
 	}
-	return knowledge.Part[upstream.Instance]{Whole: n.Whole, From: mark.Next, Next: n.Extent.place(), AsOf: n.Extent.asOf(asked), Changes: n.changes()}, nil
+	return knowledge.Part[upstream.Instance]{Whole: n.Whole, From: mark.Next, Next: n.Extent.position(), AsOf: n.Extent.asOf(asked), Changes: n.changes()}, nil
 }
 
-func (r *Router) takeCatalogs(p knowledge.Part[catalog.Catalog]) knowledge.Fit {
+func (r *Router) applyCatalogs(p knowledge.Part[catalog.Catalog]) knowledge.Fit {
 	var fit knowledge.Fit
 	var before, after *catalog.Index
 	var since time.Time
-	var unsettled, still bool
+	var pending, stillPending bool
 	now := clock.Now()
 	r.opts.Relay.Know(func(s *knowledge.State) {
 		before = s.Index()
-		_, unsettled = s.Unsettled()
+		_, pending = s.RewritePending()
 		fit = s.TakeCatalogs(now, p)
-		since, still = s.Unsettled()
+		since, stillPending = s.RewritePending()
 		after = s.Index()
 	})
-	if unsettled && !still {
+	if pending && !stillPending {
 		r.opts.Logger.Info().Stringer("place", p.Next).Uint64("version", uint64(r.version())).Int64("after_ms", now.Sub(since).Milliseconds()).Msg("catalog-proven")
-		r.spread()
+		r.triggerGossip()
 	}
 	if before != after {
 		r.opts.Logger.Info().Uint64("version", uint64(after.Version)).Int("routes", len(after.Routes)).Stringer("place", p.Next).
@@ -82,10 +82,10 @@
 	return fit
 }
 
-func (r *Router) takeUpstreams(p knowledge.Part[upstream.Instance]) knowledge.Fit {
+func (r *Router) applyUpstreams(p knowledge.Part[upstream.Instance]) knowledge.Fit {
 	var fit knowledge.Fit
 	r.opts.Relay.Know(func(s *knowledge.State) { fit = s.TakeUpstreams(clock.Now(), p) })
-	if fit == knowledge.FitNews {
+	if fit == knowledge.FitNew {
 		r.firstEra(p.Next.Era)
 		r.noteUpstreams(p)
 	}
@@ -93,13 +93,14 @@
 	return fit
 }
 
-// fewListed is the number of changes of upstreams up to which each has a line of its own.
-const fewListed = 8
+// maxLoggedChanges is the number of changes of upstreams up to which each is logged on its own
+// line.
+const maxLoggedChanges = 8
 
-// noteUpstreams logs what has become known of upstreams: each, or how many if there are many.
+// noteUpstreams logs changes of upstreams: each of them, or only their counts if there are many.
 func (r *Router) noteUpstreams(p knowledge.Part[upstream.Instance]) {
 	age := clock.Since(p.AsOf).Milliseconds()
-	if len(p.Changes) > fewListed {
+	if len(p.Changes) > maxLoggedChanges {
 		counts := map[upstream.State]int{}
 		for _, c := range p.Changes {
 			counts[stateOf(c.Value)]++
@@ -114,7 +115,7 @@
 	}
 }
 
-// stateGone stands in logs for an upstream whose entry has gone.
+// stateGone is the logged state of an upstream whose entry was removed.
 const stateGone upstream.State = "gone"
 
 func stateOf(i *upstream.Instance) upstream.State {
--- a/services/entry/permits.go
+++ b/services/entry/permits.go
@@ -17,22 +17,22 @@
 	"fawnwinch.org/fawnwinch/services/watch"
 )
 
-// feedPermits begins the names by which it is drawn which router gives the permits for an upstream.
+// feedPermits is the prefix of the names by which the permit grantor of an upstream is chosen.
 const feedPermits = "permits/"
 
 var _ services.Permits = (*Router)(nil)
 
-// giver returns the router that gives the permits for an upstream, and whether it is this one.
-func (r *Router) giver(now time.Time, run upstream.Run) (name, address string, self bool) {
+// grantor returns the router that grants the permits for an upstream, and whether it is this one.
+func (r *Router) grantor(now time.Time, run upstream.Run) (name, address string, self bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	name = watch.Reader(feedPermits+string(run.ID), r.staying(now, func(peer.Info) bool { return true }))
+	name = watch.Reader(feedPermits+string(run.ID), r.eligibleRouters(now, func(peer.Info) bool { return true }))
 	return name, r.table.Address(name), name == r.table.Self().Name
 }
 
-// Ask implements services.Permits: it asks the router that gives the permits for an upstream.
+// Ask implements services.Permits: it requests permits from the grantor of an upstream.
 func (r *Router) Ask(ctx context.Context, now time.Time, ask condition.Ask) (condition.Reply, error) {
-	name, address, self := r.giver(now, ask.Run)
+	name, address, self := r.grantor(now, ask.Run)
 	if self {
 		return r.ledger.Give(now, ask), nil
 	}
@@ -40,16 +40,16 @@
 	defer cancel()
 	var reply condition.Reply
 	if err := r.opts.Pool.Call(cctx, address, "Router.Permit", ask, &reply); err != nil {
-		r.silent(peer.Target{Name: name, Address: address}, err)
+		r.noteNoReply(peer.Target{Name: name, Address: address}, err)
 		return condition.Reply{}, fmt.Errorf("ask router %s for permits for upstream %s: %w", name, ask.Run.ID, err)
 	}
 	return reply, nil
 }
 
-// Permit gives permits to another router.
+// Permit grants permits to another router.
 func (a *API) Permit(ask condition.Ask, reply *condition.Reply) error {
 	now := clock.Now()
-	if _, _, self := a.r.giver(now, ask.Run); !self {
+	if _, _, self := a.r.grantor(now, ask.Run); !self {
 		*reply = quota.Denied()
 		return nil
 	}
--- a/services/entry/permits_test.go
+++ b/services/entry/permits_test.go
@@ -16,7 +16,8 @@
 	"fawnwinch.org/fawnwinch/services/relay"
 )
 
-// limitOf is a word on the limit of an upstream of the tests, of a moment ago; a rate of 0 says that it has ended.
+// limitOf returns a recent notice of an upstream's rate limit; a rate of 0 means that the limit has
+// ended.
 func limitOf(run upstream.Run, rate upstream.Rate) relay.NamedLimit {
 	return relay.NamedLimit{Service: "plain", Run: run, Limit: condition.ToldLimit{Known: true, Named: rate > 0, Rate: rate}}
 }
@@ -31,8 +32,8 @@
 	return false
 }
 
-// TestLimitsTold checks that routers tell each other which upstreams limit their requests, also one that starts later, and that a limit has
-// ended.
+// TestLimitsTold checks that rate limits of upstreams, and their end, spread to all routers,
+// including one that starts later.
 func TestLimitsTold(t *testing.T) {
 	run := upstream.Run{ID: "u", Born: 3}
 	a, ra, address := router(t, "a")
@@ -57,31 +58,32 @@
 	until(t, "router c told of the end", func() bool { return !knows(rc, run) })
 }
 
-// known returns the number of routers that one knows to stay, itself among them.
+// known returns the number of routers that one considers as running and not leaving, including
+// itself.
 func known(r *Router) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.staying(time.Now(), func(peer.Info) bool { return true }))
+	return len(r.eligibleRouters(time.Now(), func(peer.Info) bool { return true }))
 }
 
-// TestOneGiver checks that routers agree on the one that gives permits for an upstream, that together they give what one may, and that another one
-// gives them when that leaves.
+// TestOneGiver checks that routers agree on one permit grantor for an upstream, that together they
+// grant what one may, and that another router takes over when the grantor leaves.
 func TestOneGiver(t *testing.T) {
 	a, _, address := router(t, "a")
 	b, _, _ := router(t, "b", address)
 	routers := map[string]*Router{"a": a, "b": b}
 	for _, r := range routers {
-		r.enter(peer.StateReady)
+		r.setState(peer.StateReady)
 	}
 	run := upstream.Run{ID: "u"}
-	giver := func(r *Router) string {
-		name, _, _ := r.giver(time.Now(), run)
+	grantorOf := func(r *Router) string {
+		name, _, _ := r.grantor(time.Now(), run)
 		return name
 	}
 	until(t, "both know each other", func() bool { return known(a) == 2 && known(b) == 2 })
-	first := giver(a)
-	if giver(b) != first {
-		t.Fatalf("routers a and b ask %s and %s for permits", first, giver(b))
+	first := grantorOf(a)
+	if grantorOf(b) != first {
+		t.Fatalf("routers a and b ask %s and %s for permits", first, grantorOf(b))
 	}
 	const rate, last = 20, time.Second
 	given := 0
@@ -104,10 +106,11 @@
 		}
 	}
 	routers[first].Leave(t.Context())
-	until(t, "another giver", func() bool { return giver(a) != first && giver(b) == giver(a) })
+	until(t, "another giver", func() bool { return grantorOf(a) != first && grantorOf(b) == grantorOf(a) })
 }
 
-// BenchmarkPermit asks another router for permits, over a connection on loopback: both sides together.
+// BenchmarkPermit requests permits from another router over a loopback connection, and measures
+// both sides together.
 func BenchmarkPermit(b *testing.B) {
 	ledger := quota.NewLedger()
 	l, err := httpx.Listen("127.0.0.1:0")
@@ -115,7 +118,7 @@
 		b.Fatal(err)
 	}
 	server := rpc.NewServer(l)
-	if err := server.Register("Router", &giverOf{ledger}); err != nil {
+	if err := server.Register("Router", &ledgerAPI{ledger}); err != nil {
 		b.Fatal(err)
 	}
 	server.Start()
@@ -131,10 +134,10 @@
 	b.ReportMetric(float64(pool.Stats.Sent.Load())/float64(b.N), "sent-B/op")
 }
 
-// giverOf gives permits by a ledger.
-type giverOf struct{ ledger *quota.Ledger }
+// ledgerAPI grants permits from a ledger.
+type ledgerAPI struct{ ledger *quota.Ledger }
 
-func (g *giverOf) Permit(ask condition.Ask, reply *condition.Reply) error {
+func (g *ledgerAPI) Permit(ask condition.Ask, reply *condition.Reply) error {
 	*reply = g.ledger.Give(time.Now(), ask)
 	return nil
 }
--- a/services/entry/refused.go
+++ b/services/entry/refused.go
@@ -11,12 +11,12 @@
 	"fawnwinch.org/fawnwinch/services/quarantine"
 )
 
-// maxKept bounds the entries that are written with one call.
-const maxKept = 64
+// maxEntriesPerWrite bounds the entries that are written with one call.
+const maxEntriesPerWrite = 64
 
-// keepRefused keeps the requests that are refused in the store, while this router registers the others: after a loss of all routers
-// nothing else knows them, and each would crash as many upstreams again.
-func (r *Router) keepRefused(ctx context.Context, known *registry) error {
+// storeRefused stores the refused requests while this router registers the others. Otherwise a loss
+// of all routers would lose them, and each would crash as many upstreams again.
+func (r *Router) storeRefused(ctx context.Context, known *registry) error {
 	if known.refused == nil || r.era() > known.refusedEra {
 		if err := r.readRefused(ctx, known); err != nil {
 			return err
@@ -27,7 +27,7 @@
 		return nil
 	}
 	if err := r.opts.Store.PutRefused(ctx, put, drop); err != nil {
-		return fmt.Errorf("keep refused requests: %w", err)
+		return fmt.Errorf("store refused requests: %w", err)
 	}
 	for _, e := range put {
 		known.refused[e.Name()] = len(e.Crashes)
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// refusedChanges returns the entries to be kept, and the names of those that are not refused any more: their time is over, or something
-// has cleared them.
+// refusedChanges returns the entries to be stored, and the names of those that are no longer
+// refused because they expired or were cleared.
 func (r *Router) refusedChanges(known *registry) (put []quarantine.Entry, drop []string) {
 	now := clock.Now()
 	refused := map[string]bool{}
@@ -48,21 +48,22 @@
 		for _, e := range g.Refused(now) {
 			name := e.Name()
 			refused[name] = true
-			if known.refused[name] != len(e.Crashes) && len(put) < maxKept {
+			if known.refused[name] != len(e.Crashes) && len(put) < maxEntriesPerWrite {
 				put = append(put, e)
 			}
 		}
 	})
 	for name := range known.refused {
-		if !refused[name] && len(drop) < maxKept {
+		if !refused[name] && len(drop) < maxEntriesPerWrite {
 			drop = append(drop, name)
 		}
 	}
 	return put, drop
 }
 
-// readRefused reads the requests that the store lists as refused, and refuses them here too. Those that a store lists which has come back
-// from a copy since this process knows it may have been cleared; the routers that ran then know which are refused.
+// readRefused reads the requests that the store lists as refused, and refuses them here too. If the
+// store was restored from a copy since this process started, its entries may have been cleared
+// since; the routers that ran then know which are still refused.
 func (r *Router) readRefused(ctx context.Context, known *registry) error {
 	entries, end, err := r.opts.Store.Refused().Snapshot(ctx)
 	if err != nil {
@@ -84,7 +85,7 @@
 	})
 	if len(known.refused) > 0 {
 		r.opts.Logger.Info().Int("read", len(known.refused)).Bool("restored", restore).Uint64("era", uint64(end.Era)).Msg("refused-requests-read")
-		r.spread()
+		r.triggerGossip()
 	}
 	return nil
 }
--- a/services/entry/register.go
+++ b/services/entry/register.go
@@ -17,64 +17,65 @@
 )
 
 const (
-	// feedNodes is what the choice of the router that registers the others is drawn by.
+	// feedNodes is the name by which the router that registers the others is chosen.
 	feedNodes = "nodes"
-	// registerEvery is the time between two looks at whether routers are to be registered. Those that start within
-	// it are registered with one call.
-	registerEvery = 500 * time.Millisecond
-	// rereadFirst is the time between the first two reads of what is registered: routers without seeds that start at the
-	// same time find each other by the second. It doubles up to rereadMost, by which parts of a deployment meet again that
-	// have forgotten each other.
-	rereadFirst = time.Second
-	rereadMost  = 20 * time.Second
-	// registerTime bounds a look.
-	registerTime = 1500 * time.Millisecond
+	// registerInterval is the time between two checks for unregistered routers. Those that start
+	// within it are registered with one call.
+	registerInterval = 500 * time.Millisecond
+	// minRereadInterval is the time between the first two reads of the registered routers, so that
+	// routers without seeds that start at the same time find each other by the second read. It
+	// doubles up to maxRereadInterval, which bounds the time until partitions of a deployment that
+	// have forgotten each other find each other again.
+	minRereadInterval = time.Second
+	maxRereadInterval = 20 * time.Second
+	// registerTimeout bounds one check.
+	registerTimeout = 1500 * time.Millisecond
 )
 
-// registry is what this router has read and written of the processes that are registered in the store.
+// registry is what this router has read and written of the processes registered in the store.
 type registry struct {
-	// era is that of the store in which it was read: what was written in an earlier one may be gone.
+	// era is the store era in which the registry was read. Writes of an earlier era may be lost.
 	era services.Era
-	// next is when it is read next, pause after the latest read.
+	// next is the time of the next read, pause after the latest one.
 	next  time.Time
 	pause time.Duration
-	// settled is the latest era that is registered as settled.
-	settled services.Era
-	// addresses holds the address of each router by its name.
+	// settledEra is the latest era that is registered as settled.
+	settledEra services.Era
+	// addresses maps the name of each router to its address.
 	addresses map[string]string
-	// refused holds the entries of refused requests that are kept, by name, with the number of their crashes; nil before they were
-	// read. RefusedEra is the era of the store in which they were.
+	// refused maps the names of the stored entries of refused requests to their number of crashes;
+	// nil until they are read. refusedEra is the store era in which they were read.
 	refused    map[string]int
 	refusedEra services.Era
 }
 
-// register registers the routers in the store, this one among them, while that is its turn: coordinators of groups find
-// them there, and routers whose seeds are gone.
+// register registers all routers in the store, including this one, while this router is chosen to
+// do so. Coordinators of groups and routers whose seeds are gone find them there.
 func (r *Router) register(ctx context.Context) {
 	var known registry
 	if !r.isSeed() {
-		sleep.For(ctx, seedPatience)
+		sleep.For(ctx, seedTimeout)
 	}
-	for ; ctx.Err() == nil; sleep.For(ctx, registerEvery) {
+	for ; ctx.Err() == nil; sleep.For(ctx, registerInterval) {
 		now := clock.Now()
-		if !r.reads(now, feedNodes) || r.era() > known.era {
+		if !r.isReader(now, feedNodes) || r.era() > known.era {
 			known = registry{}
 		}
-		if !r.reads(now, feedNodes) {
+		if !r.isReader(now, feedNodes) {
 			continue
 		}
-		cctx, cancel := context.WithTimeout(ctx, registerTime)
+		cctx, cancel := context.WithTimeout(ctx, registerTimeout)
 		if err := r.registerOnce(cctx, now, &known); err != nil {
 			r.opts.Logger.Warn().Err(err).Msg("registration-failed")
 		}
-		if err := r.keepRefused(cctx, &known); err != nil {
-			r.opts.Logger.Warn().Err(err).Msg("refused-requests-not-kept")
+		if err := r.storeRefused(cctx, &known); err != nil {
+			r.opts.Logger.Warn().Err(err).Msg("refused-requests-not-stored")
 		}
 		cancel()
 	}
 }
 
-// registerOnce registers the routers that run and are not registered.
+// registerOnce registers the running routers that are not registered.
 func (r *Router) registerOnce(ctx context.Context, now time.Time, known *registry) error {
 	if !now.Before(known.next) {
 		nodes, end, err := r.opts.Store.Nodes().Snapshot(ctx)
@@ -83,11 +84,11 @@
 		}
 		known.era = end.Era
 		known.read(now, nodes)
-		r.meet(known)
+		r.queueUncontacted(known)
 	}
 	r.noteSettled(now, known)
 	missing := r.unregistered(now, known)
-	settles := r.settledAnew(known)
+	settles := r.newlySettled(known)
 	if settles {
 		missing = withSettled(missing, r.Self(), known.era)
 	}
@@ -98,7 +99,7 @@
 		return err
 	}
 	if settles {
-		known.settled = known.era
+		known.settledEra = known.era
 	}
 	for _, n := range missing {
 		known.addresses[n.Name] = n.Address
@@ -107,35 +108,36 @@
 	return nil
 }
 
-// read takes in what is registered.
+// read records the registered routers.
 func (g *registry) read(now time.Time, nodes []services.Change[peer.Info]) {
-	g.pause = min(max(2*g.pause, rereadFirst), rereadMost)
+	g.pause = min(max(2*g.pause, minRereadInterval), maxRereadInterval)
 	g.next, g.addresses = now.Add(g.pause), map[string]string{}
 	for _, n := range nodes {
 		if n.Value != nil && n.Value.Role == vm.RoleRouter {
 			g.addresses[n.Value.Name] = n.Value.Address
-			g.settled = max(g.settled, services.Era(n.Value.SettledEra))
+			g.settledEra = max(g.settledEra, services.Era(n.Value.SettledEra))
 		}
 	}
 }
 
-// meet has those registered routers greeted of which nothing was heard.
-func (r *Router) meet(known *registry) {
+// queueUncontacted queues the registered routers that no gossip mentioned, so that they are
+// contacted.
+func (r *Router) queueUncontacted(known *registry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.registered, r.strangers = nil, nil
+	r.registered, r.uncontacted = nil, nil
 	for name, address := range known.addresses {
 		if address == r.opts.Self.Address {
 			continue
 		}
 		r.registered = append(r.registered, address)
 		if r.table.Address(name) != address {
-			r.strangers = append(r.strangers, address)
+			r.uncontacted = append(r.uncontacted, address)
 		}
 	}
 }
 
-// unregistered returns the routers that run under addresses that are not registered.
+// unregistered returns the running routers whose address is not registered.
 func (r *Router) unregistered(now time.Time, known *registry) []peer.Info {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,26 +150,29 @@
 	return out
 }
 
-// noteSettled takes over that the store's era is registered as settled: routers that start much later need not wait for the operator.
+// noteSettled applies an era that is registered as settled: routers that start much later need not
+// wait for the operator.
 func (r *Router) noteSettled(now time.Time, known *registry) {
-	if known.era == 0 || known.settled != known.era {
+	if known.era == 0 || known.settledEra != known.era {
 		return
 	}
-	r.opts.Relay.Know(func(s *knowledge.State) { s.Settle(now, known.era) })
-	r.catalogs.stir()
+	r.opts.Relay.Know(func(s *knowledge.State) { s.EndRewrite(now, known.era) })
+	r.catalogs.wakeUp()
 }
 
-// settledAnew reports whether the era in which the processes were read has settled here and is not registered as such.
-func (r *Router) settledAnew(known *registry) bool {
+// newlySettled reports whether the era of the latest registry read has settled here and is not
+// registered as settled.
+func (r *Router) newlySettled(known *registry) bool {
 	unsettled, at := true, services.Place{}
 	r.opts.Relay.Know(func(s *knowledge.State) {
-		_, unsettled = s.Unsettled()
+		_, unsettled = s.RewritePending()
 		at = s.Catalogs().Next
 	})
-	return known.era > 0 && known.settled < known.era && at.Era == known.era && !unsettled
+	return known.era > 0 && known.settledEra < known.era && at.Era == known.era && !unsettled
 }
 
-// withSettled returns the processes that are to be registered, and the own one as a router that knows an era as settled.
+// withSettled returns the processes to be registered, and the entry of this router with era as its
+// settled era.
 func withSettled(missing []peer.Info, self peer.Info, era services.Era) []peer.Info {
 	self.SettledEra = uint64(era)
 	others := slices.DeleteFunc(missing, func(p peer.Info) bool { return p.Name == self.Name })
--- a/services/entry/report.go
+++ b/services/entry/report.go
@@ -21,34 +21,36 @@
 	Group     group.ID
 	Service   service.ID
 	Authority uint64
-	// Address takes calls of other processes.
+	// Address is the RPC address for other processes.
 	Address string
 }
 
-// led is what a router holds of a group: its coordinator, and the list of ranks by which that tells the load.
-type led struct {
+// groupState is a router's state of a group: its coordinator, and the list of ranks that the
+// coordinator's reports refer to.
+type groupState struct {
 	Coordinator
 	list balance.RankList
-	// toldAt is when the load was last told, and last what that was.
-	toldAt time.Time
-	last   GroupStatus
+	// reportedAt is when the load was last reported, and last that report.
+	reportedAt time.Time
+	last       GroupStatus
 }
 
-// takeReport takes in the load of a group and returns what this router adds to it.
+// takeReport records the load of a group and returns this router's demand.
 func (r *Router) takeReport(now time.Time, report balance.Report) balance.ReportReply {
 	list := r.noteCoordinator(now, &report)
 	g, ok := list.Unpack(report)
 	if !ok {
 		return balance.ReportReply{}
 	}
-	told := r.opts.Relay.Report(now, g)
+	demand := r.opts.Relay.Report(now, g)
 	return balance.ReportReply{
-		List: list.Number, Unstarted: list.PackUnstarted(told.Unstarted), Wanted: told.Wanted, Waiting: told.Waiting, Rate: told.Rate, Idle: told.Idle,
-		Most: list.PackMost(told.Most), Resting: list.PackRanks(told.Resting),
+		List: list.Number, Unstarted: list.PackUnstarted(demand.Unstarted), Wanted: demand.Wanted, Waiting: demand.Waiting, Rate: demand.Rate, Idle: demand.Idle,
+		Most: list.PackMost(demand.Most), Resting: list.PackRanks(demand.Resting),
 	}
 }
 
-// noteCoordinator notes who has sent a report, and returns the list of ranks that it goes by.
+// noteCoordinator records the sender of a report, and returns the list of ranks that the report
+// refers to.
 func (r *Router) noteCoordinator(now time.Time, report *balance.Report) balance.RankList {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,12 +61,12 @@
 	if list, ok := report.Carried(); ok {
 		l.list = list
 	}
-	l.toldAt, l.last = now, statusOf(report)
+	l.reportedAt, l.last = now, statusOf(report)
 	r.groups[report.ID] = l
 	return l.list
 }
 
-// statusOf returns what a report tells operators.
+// statusOf returns the status of a group for operators.
 func statusOf(report *balance.Report) GroupStatus {
 	s := GroupStatus{Open: report.Open, Whole: report.Whole, Ranks: len(report.Running), Skew: report.Skew}
 	for i := range report.Running {
@@ -76,7 +78,7 @@
 	return s
 }
 
-// coordinatorsOf returns who coordinates the groups of a service.
+// coordinatorsOf returns the known coordinators of the groups of a service.
 func (r *Router) coordinatorsOf(id service.ID) []Coordinator {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,51 +92,56 @@
 }
 
 const (
-	// seekGap is the time between two questions for the loads of the groups of a service, while none is told. While some are, it is
-	// doubled each time up to seekMost: a group may have no coordinator for long, and all routers seek it.
-	seekGap  = 100 * time.Millisecond
-	seekMost = 2 * time.Second
-	// seekTime bounds such a question.
-	seekTime = 200 * time.Millisecond
-	// seekRouters is the number of other routers that are asked who coordinates.
-	seekRouters = 2
-	// seekStale is how long ago a coordinator has told its load that is asked for it: some times that between two reports.
-	seekStale = 300 * time.Millisecond
+	// searchInterval is the time between two searches for the coordinators of a service while no
+	// load is reported. While some loads are, it doubles each time up to maxSearchInterval: a group
+	// may have no coordinator for long, and all routers search for it.
+	searchInterval    = 100 * time.Millisecond
+	maxSearchInterval = 2 * time.Second
+	// searchTimeout bounds one call of a search.
+	searchTimeout = 200 * time.Millisecond
+	// searchFanout is the number of other routers that are asked for coordinators.
+	searchFanout = 2
+	// reportStaleAfter is the age of a coordinator's latest report from which it is asked for a new
+	// one: a few report intervals.
+	reportStaleAfter = 300 * time.Millisecond
 )
 
-// seek notes that requests for a service have come although nobody tells the load of some of its ranks. It does not wait.
-func (r *Router) seek(id service.ID) {
+// requestSearch requests a search because requests for a service arrive while some of its ranks are
+// not reported. It does not block.
+func (r *Router) requestSearch(id service.ID) {
 	select {
-	case r.sought <- id:
-	default: // one is being sought already
+	case r.searchRequests <- id:
+	default: // a search is already pending
 	}
 }
 
-// seekPause is when the groups of a service are sought again, and the latest pause before that.
-type seekPause struct {
+// searchBackoff is the back-off between searches for the coordinators of a service: the end and the
+// length of the current pause.
+type searchBackoff struct {
 	until  time.Time
 	length time.Duration
 }
 
-// next returns the pause after a search. Covered says that all ranks are told of now, and some that some groups are.
-func (p seekPause) next(now time.Time, covered, some bool) seekPause {
-	length := seekGap
+// next returns the pause after a search. covered reports whether all ranks are reported now, and
+// some whether some are.
+func (p searchBackoff) next(now time.Time, covered, some bool) searchBackoff {
+	length := searchInterval
 	if !covered && some {
-		length = min(max(2*p.length, seekGap), seekMost)
+		length = min(max(2*p.length, searchInterval), maxSearchInterval)
 	}
-	return seekPause{until: now.Add(length), length: length}
+	return searchBackoff{until: now.Add(length), length: length}
 }
 
-// seekAll asks for the loads of groups that nobody tells until ctx ends.
-func (r *Router) seekAll(ctx context.Context) {
-	pauses := map[service.ID]seekPause{}
+// runSearches searches for the coordinators of unreported ranks until ctx ends.
+func (r *Router) runSearches(ctx context.Context) {
+	pauses := map[service.ID]searchBackoff{}
 	for {
 		select {
-		case id := <-r.sought:
+		case id := <-r.searchRequests:
 			if clock.Now().Before(pauses[id].until) {
 				continue
 			}
-			r.seekOne(ctx, id)
+			r.searchCoordinators(ctx, id)
 			now := clock.Now()
 			covered, some := r.covered(now, id)
 			pauses[id] = pauses[id].next(now, covered, some)
@@ -144,7 +151,8 @@
 	}
 }
 
-// covered reports whether the loads of all ranks of a service are told, and whether those of some are.
+// covered reports whether the loads of all ranks of a service are reported, and whether those of
+// some are.
 func (r *Router) covered(now time.Time, id service.ID) (all, some bool) {
 	for _, c := range r.opts.Relay.Coverage(now) {
 		if c.Service == id {
@@ -154,19 +162,20 @@
 	return false, false
 }
 
-// seekOne asks the coordinators of a service that have not told their load lately, and other routers who they are if ranks are
-// left of which nobody tells. A service may have several groups: one that tells says nothing of the others.
-func (r *Router) seekOne(ctx context.Context, id service.ID) {
+// searchCoordinators asks the known coordinators of a service without a recent report, and if ranks
+// remain unreported, asks other routers for coordinators. A service may have several groups: a
+// report of one says nothing about the others.
+func (r *Router) searchCoordinators(ctx context.Context, id service.ID) {
 	r.askCoordinators(ctx, id)
 	if all, _ := r.covered(clock.Now(), id); all {
 		return
 	}
-	for _, n := range r.someRouters(seekRouters) {
+	for _, n := range r.someRouters(searchFanout) {
 		var found []Coordinator
-		if err := r.callSoon(ctx, n.Address, "Router.Coordinators", id, &found); err != nil {
-			continue // it is noted that the router is silent when it is greeted
+		if err := r.callWithTimeout(ctx, n.Address, "Router.Coordinators", id, &found); err != nil {
+			continue // the gossip loop detects that the router is silent
 		}
-		if !r.learnCoordinators(found) {
+		if !r.mergeCoordinators(found) {
 			continue
 		}
 		r.askCoordinators(ctx, id)
@@ -174,21 +183,21 @@
 			return
 		}
 	}
-	r.opts.Logger.Info().Str("service", string(id)).Int("known", len(r.coordinatorsOf(id))).Msg("no-coordinator-answers")
+	r.opts.Logger.Info().Str("service", string(id)).Int("known", len(r.coordinatorsOf(id))).Msg("no-coordinator-reachable")
 }
 
-// askCoordinators asks the coordinators that are known and have not told their load lately.
+// askCoordinators asks the known coordinators without a recent report for their load.
 func (r *Router) askCoordinators(ctx context.Context, id service.ID) {
 	for _, c := range r.coordinatorsOf(id) {
 		r.mu.Lock()
 		l := r.groups[c.Group]
 		want := balance.Want{Router: r.table.Self(), List: l.list.Number}
 		r.mu.Unlock()
-		if clock.Since(l.toldAt) < seekStale {
+		if clock.Since(l.reportedAt) < reportStaleAfter {
 			continue
 		}
 		var report balance.Report
-		if err := r.callSoon(ctx, c.Address, "Rank.Report", want, &report); err != nil {
+		if err := r.callWithTimeout(ctx, c.Address, "Rank.Report", want, &report); err != nil {
 			r.opts.Logger.Debug().Str("coordinator", c.Address).Err(err).Msg("coordinator-silent")
 			continue
 		}
@@ -198,32 +207,32 @@
 	}
 }
 
-func (r *Router) callSoon(ctx context.Context, address, method string, args, reply any) error {
-	cctx, cancel := context.WithTimeout(ctx, seekTime)
+func (r *Router) callWithTimeout(ctx context.Context, address, method string, args, reply any) error {
+	cctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
 	return r.opts.Pool.Call(cctx, address, method, args, reply)
 }
 
-// learnCoordinators takes in what another router knows, and reports whether that is new.
-func (r *Router) learnCoordinators(found []Coordinator) bool {
+// mergeCoordinators records coordinators known to another router, and reports whether any was new.
+func (r *Router) mergeCoordinators(found []Coordinator) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news := false
+	added := false
 	for _, c := range found {
 		if l := r.groups[c.Group]; c.Authority > l.Authority {
 			l.Coordinator = c
 			r.groups[c.Group] = l
-			news = true
+			added = true
 		}
 	}
-	return news
+	return added
 }
 
-// someRouters returns some routers that seem to run, chosen by chance.
-func (r *Router) someRouters(most int) []peer.Info {
+// someRouters returns some randomly chosen routers that appear to run.
+func (r *Router) someRouters(limit int) []peer.Info {
 	r.mu.Lock()
 	live := r.table.Live(clock.Now(), vm.RoleRouter)
 	r.mu.Unlock()
 	rand.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] }) //nolint:gosec // no secret
-	return live[:min(most, len(live))]
+	return live[:min(limit, len(live))]
 }
--- a/services/entry/return_test.go
+++ b/services/entry/return_test.go
@@ -24,35 +24,36 @@
 )
 
 const (
-	// storeWay and routerWay are the times of a call of the store and of another router.
-	storeWay, routerWay = 4 * time.Millisecond, 2 * time.Millisecond
-	// applyBound and keyBound are the users' bounds on configurations and on keys that were taken away.
+	// storeLatency and routerLatency are the times of a call of the store and of another router.
+	storeLatency, routerLatency = 4 * time.Millisecond, 2 * time.Millisecond
+	// applyBound and keyBound are the users' bounds on configurations and on keys that were taken
+	// away.
 	applyBound, keyBound = 2 * time.Second, 5 * time.Second
-	// keyMargin is what routers leave of it for the way to the upstream.
+	// keyMargin is the part of keyBound that routers reserve for the way to the upstream.
 	keyMargin = 300 * time.Millisecond
 )
 
 var errAway = errors.New("the store is away")
 
-// playedStore is a store with one feed of catalogs, which comes back from copies.
-type playedStore struct {
+// simStore simulates a store with one feed of catalogs that is restored from copies.
+type simStore struct {
 	mu      sync.Mutex
 	era     services.Era
 	log     []catalog.Version
 	away    bool
 	changed chan struct{}
-	// calls counts all calls, and snapshots those that read the feed whole.
+	// calls counts all calls, and snapshots those that read the full feed.
 	calls, snapshots int
-	// acked holds when each version was acknowledged first.
+	// acked holds when each version was first acknowledged.
 	acked map[catalog.Version]time.Time
 }
 
-func newPlayedStore() *playedStore {
-	return &playedStore{changed: make(chan struct{}), acked: map[catalog.Version]time.Time{}}
+func newPlayedStore() *simStore {
+	return &simStore{changed: make(chan struct{}), acked: map[catalog.Version]time.Time{}}
 }
 
-// change changes the store and wakes the reads that wait.
-func (s *playedStore) change(f func()) {
+// change changes the store and wakes the waiting reads.
+func (s *simStore) change(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
@@ -60,7 +61,7 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *playedStore) write(v catalog.Version) {
+func (s *simStore) write(v catalog.Version) {
 	s.change(func() {
 		s.log = append(s.log, v)
 		if _, ok := s.acked[v]; !ok {
@@ -69,8 +70,8 @@
 	})
 }
 
-func (s *playedStore) call(ctx context.Context) error {
-	time.Sleep(storeWay / 2)
+func (s *simStore) call(ctx context.Context) error {
+	time.Sleep(storeLatency / 2)
 	s.mu.Lock()
 	s.calls++
 	away := s.away
@@ -81,7 +82,7 @@
 	return ctx.Err()
 }
 
-func (s *playedStore) end() services.Place { return services.Place{Era: s.era}.After(len(s.log)) }
+func (s *simStore) end() services.Place { return services.Place{Era: s.era}.After(len(s.log)) }
 
 func changesOf(versions []catalog.Version, at services.Place) []services.Change[catalog.Catalog] {
 	var out []services.Change[catalog.Catalog]
@@ -91,11 +92,11 @@
 	return out
 }
 
-func (s *playedStore) Snapshot(ctx context.Context) ([]services.Change[catalog.Catalog], services.Place, error) {
+func (s *simStore) Snapshot(ctx context.Context) ([]services.Change[catalog.Catalog], services.Place, error) {
 	if err := s.call(ctx); err != nil {
 		return nil, services.Place{}, err
 	}
-	defer time.Sleep(storeWay / 2)
+	defer time.Sleep(storeLatency / 2)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.snapshots++
@@ -103,11 +104,11 @@
 	return changesOf(newest, s.end()), s.end(), nil
 }
 
-func (s *playedStore) Changes(ctx context.Context, from services.Place, wait time.Duration) ([]services.Change[catalog.Catalog], services.Place, error) {
+func (s *simStore) Changes(ctx context.Context, from services.Place, wait time.Duration) ([]services.Change[catalog.Catalog], services.Place, error) {
 	if err := s.call(ctx); err != nil {
 		return nil, from, err
 	}
-	defer time.Sleep(storeWay / 2)
+	defer time.Sleep(storeLatency / 2)
 	timeout := time.After(wait)
 	for waiting := true; ; {
 		s.mu.Lock()
@@ -132,38 +133,38 @@
 	}
 }
 
-// playedRouter is what a router does to know the catalog.
-type playedRouter struct {
-	d    *playedRouters
+// simRouter simulates how a router follows the catalog.
+type simRouter struct {
+	d    *simulation
 	name string
-	// cut says that it does not reach the store.
+	// cut reports whether the router cannot reach the store.
 	cut bool
-	// neighbours are the routers that it greets.
-	neighbours []*playedRouter
-
-	mu     sync.Mutex
-	state  *knowledge.State
-	f      *follower[catalog.Catalog]
-	news   chan struct{}
-	cancel context.CancelFunc
-	done   sync.WaitGroup
-	// version is the highest that this start has had in force.
+	// neighbours are the routers that it sends gossip messages to.
+	neighbours []*simRouter
+
+	mu        sync.Mutex
+	state     *knowledge.State
+	f         *follower[catalog.Catalog]
+	gossipDue chan struct{}
+	cancel    context.CancelFunc
+	done      sync.WaitGroup
+	// version is the highest version in force since the latest start.
 	version catalog.Version
 }
 
-// playedRouters are the routers of a deployment, on virtual time.
-type playedRouters struct {
+// simulation simulates the routers of a deployment on virtual time.
+type simulation struct {
 	t       *testing.T
 	rand    *rand.Rand
-	store   *playedStore
-	routers []*playedRouter
+	store   *simStore
+	routers []*simRouter
 }
 
-func newPlayedRouters(t *testing.T, routers int, seed uint64) *playedRouters {
-	d := &playedRouters{t: t, rand: rand.New(rand.NewPCG(seed, 1)), store: newPlayedStore()}
+func newPlayedRouters(t *testing.T, routers int, seed uint64) *simulation {
+	d := &simulation{t: t, rand: rand.New(rand.NewPCG(seed, 1)), store: newPlayedStore()}
 	d.store.write(1)
 	for i := range routers {
-		d.routers = append(d.routers, &playedRouter{d: d, name: fmt.Sprint("router-", i)})
+		d.routers = append(d.routers, &simRouter{d: d, name: fmt.Sprint("router-", i)})
 	}
 	for i, r := range d.routers {
 		r.state = knowledge.New(applyBound)
@@ -179,7 +180,7 @@
 	return d
 }
 
-// degreeOf returns how many of so many routers one greets.
+// degreeOf returns the number of neighbours of each router in a deployment of the given size.
 func degreeOf(routers int) int {
 	if routers <= 12 {
 		return routers - 1
@@ -187,8 +188,8 @@
 	return int(math.Ceil(math.Log2(float64(routers))))
 }
 
-// cutFeed is the store as one router reaches it.
-type cutFeed struct{ r *playedRouter }
+// cutFeed is the store as seen by one router.
+type cutFeed struct{ r *simRouter }
 
 func (c cutFeed) reach() error {
 	c.r.mu.Lock()
@@ -213,27 +214,27 @@
 	return c.r.d.store.Changes(ctx, from, wait)
 }
 
-func (r *playedRouter) know(f func(s *knowledge.State)) {
+func (r *simRouter) know(f func(s *knowledge.State)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.state)
 }
 
-func (r *playedRouter) extent() Extent {
-	var e Extent
-	r.know(func(s *knowledge.State) { e = catalogExtent(time.Now(), s) })
+func (r *simRouter) extent() FeedProgress {
+	var e FeedProgress
+	r.know(func(s *knowledge.State) { e = catalogProgress(time.Now(), s) })
 	return e
 }
 
-// start starts the router anew: it knows nothing.
-func (r *playedRouter) start() {
+// start restarts the router with empty state.
+func (r *simRouter) start() {
 	r.mu.Lock()
-	r.state, r.news, r.version = knowledge.New(applyBound), make(chan struct{}, 1), 0
+	r.state, r.gossipDue, r.version = knowledge.New(applyBound), make(chan struct{}, 1), 0
 	r.mu.Unlock()
-	news := r.news
+	news := r.gossipDue
 	f := &follower[catalog.Catalog]{
 		name: feedCatalogs, feed: cutFeed{r}, times: watch.NewTimes(applyBound), logger: zerolog.Nop(), wake: make(chan struct{}, 1), ahead: make(chan string, 1),
-		mark: func() (m knowledge.Mark) {
+		mark: func() (m knowledge.Watermark) {
 			r.know(func(s *knowledge.State) { m = s.Catalogs() })
 			return m
 		},
@@ -241,48 +242,48 @@
 			r.know(func(s *knowledge.State) { v = s.Version() })
 			return v
 		},
-		take: func(p knowledge.Part[catalog.Catalog]) (fit knowledge.Fit) {
+		apply: func(p knowledge.Part[catalog.Catalog]) (fit knowledge.Fit) {
 			proven := false
 			r.know(func(s *knowledge.State) {
-				_, unsettled := s.Settles()
+				_, unsettled := s.ProofFrom()
 				fit = s.TakeCatalogs(time.Now(), p)
-				_, still := s.Settles()
+				_, still := s.ProofFrom()
 				proven = unsettled && !still
 			})
 			if proven {
-				r.spread()
+				r.triggerGossip()
 			}
 			return fit
 		},
-		settles: func() (from time.Time, ok bool) {
-			r.know(func(s *knowledge.State) { from, ok = s.Settles() })
+		proofFrom: func() (from time.Time, ok bool) {
+			r.know(func(s *knowledge.State) { from, ok = s.ProofFrom() })
 			return from, ok
 		},
-		era:    func() services.Era { return r.extent().Era },
-		mine:   func(time.Time) bool { return watch.Reader(feedCatalogs, r.d.reaching(r)) == r.name },
-		spread: r.spread,
-		note:   func(error) {},
-		ask:    r.ask,
+		era:      func() services.Era { return r.extent().Era },
+		isReader: func(time.Time) bool { return watch.Reader(feedCatalogs, r.d.reaching(r)) == r.name },
+		notify:   r.triggerGossip,
+		onRead:   func(error) {},
+		pull:     r.ask,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.mu.Lock()
 	r.f, r.cancel = f, cancel
 	r.mu.Unlock()
 	r.done.Go(func() { f.run(ctx) })
-	r.done.Go(func() { r.greetAll(ctx, news) })
+	r.done.Go(func() { r.runGossip(ctx, news) })
 }
 
 // follower returns that of the latest start; nil before the first.
-func (r *playedRouter) follower() *follower[catalog.Catalog] {
+func (r *simRouter) follower() *follower[catalog.Catalog] {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.f
 }
 
-// spread has the neighbours greeted soon.
-func (r *playedRouter) spread() {
+// triggerGossip triggers a gossip round.
+func (r *simRouter) triggerGossip() {
 	r.mu.Lock()
-	news := r.news
+	news := r.gossipDue
 	r.mu.Unlock()
 	select {
 	case news <- struct{}{}:
@@ -291,13 +292,14 @@
 }
 
 // stop ends the router.
-func (r *playedRouter) stop() {
+func (r *simRouter) stop() {
 	r.cancel()
 	r.done.Wait()
 }
 
-// reaching returns the names of a router and of all others that do not fail to read the store.
-func (d *playedRouters) reaching(self *playedRouter) []string {
+// reaching returns the names of a router and of all others whose latest read of the store did not
+// fail.
+func (d *simulation) reaching(self *simRouter) []string {
 	names := []string{self.name}
 	for _, r := range d.routers {
 		if f := r.follower(); r != self && f != nil && !f.failing() {
@@ -307,30 +309,31 @@
 	return names
 }
 
-// ask asks another router for its catalog.
-func (r *playedRouter) ask(ctx context.Context, name string) (knowledge.Part[catalog.Catalog], error) {
+// ask pulls the catalog from another router.
+func (r *simRouter) ask(ctx context.Context, name string) (knowledge.Part[catalog.Catalog], error) {
 	asked := time.Now()
-	time.Sleep(routerWay)
-	i := slices.IndexFunc(r.d.routers, func(o *playedRouter) bool { return o.name == name })
+	time.Sleep(routerLatency)
+	i := slices.IndexFunc(r.d.routers, func(o *simRouter) bool { return o.name == name })
 	e := r.d.routers[i].extent()
-	p := knowledge.Part[catalog.Catalog]{Whole: true, Next: e.place(), AsOf: e.asOf(asked), Vouch: e.vouch(asked)}
+	p := knowledge.Part[catalog.Catalog]{Whole: true, Next: e.position(), AsOf: e.asOf(asked), Vouch: e.confirmation(asked)}
 	if e.Version > 0 {
-		p.Changes = changesOf([]catalog.Version{e.Version}, e.place())
+		p.Changes = changesOf([]catalog.Version{e.Version}, e.position())
 	}
-	time.Sleep(routerWay)
+	time.Sleep(routerLatency)
 	return p, ctx.Err()
 }
 
-// greetAll greets some others, which differ from router to router, at intervals and when there is news.
-func (r *playedRouter) greetAll(ctx context.Context, news chan struct{}) {
+// runGossip exchanges gossip with some other routers, which differ from router to router, at
+// intervals and after updates.
+func (r *simRouter) runGossip(ctx context.Context, news chan struct{}) {
 	for ctx.Err() == nil {
 		for _, to := range r.neighbours {
-			r.greet(ctx, to)
+			r.exchange(ctx, to)
 		}
-		timer := time.NewTimer(greetEvery)
+		timer := time.NewTimer(gossipInterval)
 		select {
 		case <-news:
-			time.Sleep(greetGap)
+			time.Sleep(minGossipGap)
 		case <-timer.C:
 		case <-ctx.Done():
 		}
@@ -338,22 +341,22 @@
 	}
 }
 
-func (r *playedRouter) greet(ctx context.Context, to *playedRouter) {
+func (r *simRouter) exchange(ctx context.Context, to *simRouter) {
 	sent := time.Now()
 	mine := r.extent()
-	time.Sleep(routerWay / 4)
+	time.Sleep(routerLatency / 4)
 	theirs := to.extent()
 	if f := to.follower(); f != nil {
-		f.told(r.name, mine)
+		f.pullIfAhead(r.name, mine)
 	}
 	if ctx.Err() == nil {
-		r.follower().confirmed(sent, to.name, theirs)
+		r.follower().applyReply(sent, to.name, theirs)
 	}
 }
 
-// check checks what must hold at any time: no version goes back, and nobody is let in by a catalog that a later one had replaced for longer than
-// the bound on keys. Each version takes a key away.
-func (d *playedRouters) check() {
+// check checks the invariants: no version goes back, and no caller is accepted with a catalog that
+// was replaced longer ago than the bound on keys. Each version takes a key away.
+func (d *simulation) check() {
 	now := time.Now()
 	for _, r := range d.routers {
 		r.know(func(s *knowledge.State) {
@@ -375,8 +378,9 @@
 	}
 }
 
-// right reports whether all routers have a version in force and know that it is the newest.
-func (d *playedRouters) right(v catalog.Version) bool {
+// converged reports whether all routers have a version in force and have confirmed it as the
+// newest.
+func (d *simulation) converged(v catalog.Version) bool {
 	now := time.Now()
 	for _, r := range d.routers {
 		ok := false
@@ -388,22 +392,22 @@
 	return true
 }
 
-// play lets time pass, and checks all the while.
-func (d *playedRouters) play(length time.Duration) {
+// advance advances the time, and checks the invariants meanwhile.
+func (d *simulation) advance(length time.Duration) {
 	for end := time.Now().Add(length); time.Now().Before(end); {
 		time.Sleep(25 * time.Millisecond)
 		d.check()
 	}
 }
 
-func (d *playedRouters) stop() {
+func (d *simulation) stop() {
 	for _, r := range d.routers {
 		r.stop()
 	}
 }
 
-// TestSchedulesOfReturns plays schedules by chance of returns, outages, writes, starts and cuts, in which the operator writes again what was
-// lost within two seconds.
+// TestSchedulesOfReturns runs random schedules of restores, outages, writes, restarts and cuts, in
+// which the operator rewrites what was lost within two seconds.
 func TestSchedulesOfReturns(t *testing.T) {
 	const seeds = 40
 	for seed := range uint64(seeds) {
@@ -414,9 +418,9 @@
 	}
 }
 
-func returnsBySchedule(t *testing.T, d *playedRouters) {
+func returnsBySchedule(t *testing.T, d *simulation) {
 	defer d.stop()
-	d.play(time.Second)
+	d.advance(time.Second)
 	version := catalog.Version(1)
 	write := func() {
 		version += 1 + catalog.Version(d.rand.IntN(4))
@@ -426,13 +430,13 @@
 	for range 1 + d.rand.IntN(3) {
 		copied := slices.Clone(d.store.log)
 		for range 1 + d.rand.IntN(5) {
-			d.play(span(1500 * time.Millisecond))
+			d.advance(span(1500 * time.Millisecond))
 			write()
 		}
-		d.play(span(300 * time.Millisecond))
+		d.advance(span(300 * time.Millisecond))
 		if d.rand.IntN(2) == 0 {
 			d.store.change(func() { d.store.away = true })
-			d.play(span(6 * time.Second))
+			d.advance(span(6 * time.Second))
 		}
 		struck := d.routers[d.rand.IntN(len(d.routers))]
 		switch d.rand.IntN(4) {
@@ -452,19 +456,19 @@
 			struck.mu.Unlock()
 		}
 		d.store.change(func() { d.store.log, d.store.away = copied, false; d.store.era++ })
-		d.play(span(1800 * time.Millisecond))
+		d.advance(span(1800 * time.Millisecond))
 		if d.rand.IntN(2) == 0 {
 			d.store.write(max(version-1, 1))
 		}
 		d.store.write(version)
-		d.play(span(2 * time.Second))
+		d.advance(span(2 * time.Second))
 		struck.mu.Lock()
 		struck.cut = false
 		struck.mu.Unlock()
 	}
 	write()
-	d.play(4 * time.Second)
-	if !d.right(version) {
+	d.advance(4 * time.Second)
+	if !d.converged(version) {
 		t.Errorf("not all routers have version %d in force 4 s after the last disturbance", version)
 		for _, r := range d.routers {
 			t.Logf("%s: %+v, behind since %s, failures %d", r.name, r.extent(), time.Since(r.f.behind), r.f.failures)
@@ -472,8 +476,8 @@
 	}
 }
 
-// TestReturnAtSize has the store come back before as many routers as deployments have, and counts the calls and the time until all are right
-// again.
+// TestReturnAtSize restores the store for as many routers as deployments have, and counts the calls
+// and the time until all routers have converged.
 func TestReturnAtSize(t *testing.T) {
 	for _, routers := range []int{6, 32, 149} {
 		for name, outage := range map[string]time.Duration{"at once": 0, "after an outage": 2500 * time.Millisecond} {
@@ -481,31 +485,33 @@
 				synctest.Test(t, func(t *testing.T) {
 					d := newPlayedRouters(t, routers, 1)
 					defer d.stop()
-					d.play(3 * time.Second)
+					d.advance(3 * time.Second)
 					copied := slices.Clone(d.store.log)
 					d.store.write(5)
-					d.play(2 * time.Second)
+					d.advance(2 * time.Second)
 					if outage > 0 {
 						d.store.change(func() { d.store.away = true })
-						d.play(outage)
+						d.advance(outage)
 					}
 					d.store.change(func() { d.store.log, d.store.away = copied, false; d.store.era++ })
 					begun, before, whole := time.Now(), d.store.calls, d.store.snapshots
 					d.store.write(7)
-					for !d.right(7) && time.Since(begun) < 10*time.Second {
-						d.play(25 * time.Millisecond)
+					for !d.converged(7) && time.Since(begun) < 10*time.Second {
+						d.advance(25 * time.Millisecond)
 					}
 					took := time.Since(begun)
-					d.play(3*time.Second - took)
+					d.advance(3*time.Second - took)
 					calls, snapshots := d.store.calls-before, d.store.snapshots-whole
 					if took > applyBound {
 						t.Errorf("all routers are right after %s", took)
 					}
-					// A router whose reads failed calls once more to know that it reaches the store, while others may do so too.
+					// A router whose reads failed calls once more to detect that it reaches the
+					// store, while others may do so too.
 					if calls > 2*routers+12 {
 						t.Errorf("%d calls in 3 s by %d routers", calls, routers)
 					}
-					// The whole feed is read by who reads for all, and by few others before they hear of it.
+					// The full feed is read by the chosen reader, and by few others before they
+					// receive its updates.
 					if snapshots > 4 {
 						t.Errorf("%d whole reads by %d routers", snapshots, routers)
 					}
@@ -516,10 +522,11 @@
 	}
 }
 
-// TestRefusedAfterReturn counts for how long routers refuse keys around an outage and a return, in which nothing was lost that they know: only
-// while what they knew before is older than the bound on keys allows.
+// TestRefusedAfterReturn measures for how long routers refuse keys around an outage and a restore
+// in which nothing they know was lost: only while their earlier confirmation is older than the
+// bound on keys allows.
 func TestRefusedAfterReturn(t *testing.T) {
-	// operatorTime is that in which the operator writes again what was lost.
+	// operatorTime is the time in which the operator rewrites what was lost.
 	const operatorTime = 2 * time.Second
 	for name, outage := range map[string]time.Duration{
 		"at once": 0, "after a second": time.Second, "after two seconds": 2 * time.Second, "after two and a half": 2500 * time.Millisecond, "after six": 6 * time.Second,
@@ -530,15 +537,15 @@
 			synctest.Test(t, func(t *testing.T) {
 				d := newPlayedRouters(t, 6, 1)
 				defer d.stop()
-				d.play(3 * time.Second)
+				d.advance(3 * time.Second)
 				if outage > 0 {
 					d.store.change(func() { d.store.away = true })
 				}
 				refused := time.Duration(0)
 				count := func(length time.Duration) {
 					for end := time.Now().Add(length); time.Now().Before(end); {
-						d.play(25 * time.Millisecond)
-						if !d.right(1) {
+						d.advance(25 * time.Millisecond)
+						if !d.converged(1) {
 							refused += 25 * time.Millisecond
 						}
 					}
--- a/services/entry/seek_test.go
+++ b/services/entry/seek_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestSeekPause checks how often a router seeks the groups of a service: often while nobody tells, and more and more rarely while only
-// some groups are missing.
+// TestSeekPause checks how often a router searches for the coordinators of a service: often while
+// no load is reported, and less and less often while only some groups are missing.
 func TestSeekPause(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := map[string]struct {
@@ -17,16 +17,16 @@
 		covered, some bool
 		want          time.Duration
 	}{
-		"nobody tells":                   {0, false, false, seekGap},
-		"nobody tells, still":            {seekMost, false, false, seekGap},
-		"all are told":                   {seekMost, true, true, seekGap},
-		"some are told":                  {0, false, true, seekGap},
-		"some are told, the next time":   {seekGap, false, true, 2 * seekGap},
-		"some are told, for a long time": {seekMost, false, true, seekMost},
+		"nobody tells":                   {0, false, false, searchInterval},
+		"nobody tells, still":            {maxSearchInterval, false, false, searchInterval},
+		"all are told":                   {maxSearchInterval, true, true, searchInterval},
+		"some are told":                  {0, false, true, searchInterval},
+		"some are told, the next time":   {searchInterval, false, true, 2 * searchInterval},
+		"some are told, for a long time": {maxSearchInterval, false, true, maxSearchInterval},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			p := seekPause{length: c.before}.next(now, c.covered, c.some)
+			p := searchBackoff{length: c.before}.next(now, c.covered, c.some)
 			if p.length != c.want || !p.until.Equal(now.Add(c.want)) {
 				t.Errorf("pause %s until %s, want %s", p.length, p.until.Sub(now), c.want)
 			}
--- a/services/entry/store_status.go
+++ b/services/entry/store_status.go
@@ -11,17 +11,19 @@
 	"fawnwinch.org/fawnwinch/services/knowledge"
 )
 
-// StoreStatus is what a router knows of the platform's store.
+// StoreStatus is a router's view of the platform's store.
 type StoreStatus struct {
-	// Era is the newest that is known, and Since how long it is. Unsettled says that the operator may still write again what the store has
-	// lost with its latest return.
+	// Era is the newest known era, and Since how long it has been known. Unsettled reports whether
+	// the operator may still be rewriting what the store lost in its latest restore.
 	Era       services.Era
 	Since     time.Duration
 	Unsettled bool
-	// Catalogs and Upstreams are the places up to which the feeds are known, and Version is the catalog in force.
+	// Catalogs and Upstreams are the read positions of the feeds, and Version is that of the
+	// catalog in force.
 	Catalogs, Upstreams services.Place
 	Version             catalog.Version
-	// Proven says that the catalog was known to be the newest, and ProvenAge how long ago.
+	// Proven reports whether the catalog was ever confirmed as the newest, and ProvenAge how long
+	// ago.
 	Proven    bool
 	ProvenAge time.Duration
 }
@@ -29,7 +31,7 @@
 func (r *Router) storeStatus(now time.Time) StoreStatus {
 	s := StoreStatus{Era: r.era()}
 	r.opts.Relay.Know(func(k *knowledge.State) {
-		since, unsettled := k.Unsettled()
+		since, unsettled := k.RewritePending()
 		s.Since, s.Unsettled = now.Sub(since), unsettled
 		s.Catalogs, s.Upstreams, s.Version = k.Catalogs().Next, k.Upstreams().Next, k.Version()
 		s.Proven, s.ProvenAge = !k.CatalogProof().IsZero(), k.CatalogAge(now)
--- a/services/knowledge/entry.go
+++ b/services/knowledge/entry.go
@@ -11,28 +11,32 @@
 )
 
 const (
-	// rememberGone is how long the run of an upstream is remembered whose entry has gone. A store that comes back from a copy lists it
-	// again; copies are some seconds old.
-	rememberGone = time.Minute
-	// doubtTime is how long such a run gets no work although it is listed. The store drops entries that are not renewed within that time.
-	doubtTime = 5 * time.Second
+	// removedRetention is how long the run of an upstream is remembered after its entry was
+	// removed. A store restored from a copy lists it again; copies are some seconds old.
+	removedRetention = time.Minute
+	// relistDelay is how long such a run gets no work although it is listed. The store drops
+	// entries that are not renewed within that time.
+	relistDelay = 5 * time.Second
 )
 
-// entry is what is known of an upstream.
+// entry is the state of one upstream.
 type entry struct {
 	instance upstream.Instance
-	// at is the place of the entry in the feed.
+	// at is the position of the entry in the feed.
 	at services.Place
-	// lapsed is the time at which the entry went, or zero. Past says that it went too long ago to be used.
-	lapsed time.Time
-	past   bool
-	// doubted is the time up to which the upstream gets no work, as it is listed by a copy that may be older than its end.
-	doubted time.Time
+	// removedAt is when the entry was removed from the store, or zero. expired reports whether that
+	// is too long ago for the upstream to be used.
+	removedAt time.Time
+	expired   bool
+	// unusableUntil is the time until which the upstream gets no work, because the copy that lists
+	// it may be older than the end of the upstream.
+	unusableUntil time.Time
 }
 
-// again returns the entry of the same run that is listed again at a place. A record of a copy is no later than what was known of the run
-// before the return: it gives neither an address back nor takes back that the run leaves or has left.
-func (e *entry) again(now time.Time, i upstream.Instance, at services.Place, returned bool) *entry {
+// relisted returns the entry of a run that is listed again at a position. A record from a copy
+// is not newer than what was known of the run before the restore: it neither gives back an address
+// nor reverts the fact that the run is leaving or has left.
+func (e *entry) relisted(now time.Time, i upstream.Instance, at services.Place, returned bool) *entry {
 	next := &entry{instance: i, at: at}
 	if e.instance.State == upstream.StateLeaving {
 		next.instance.State = upstream.StateLeaving
@@ -40,9 +44,9 @@
 	if !returned || e.at.Offset < at.Offset {
 		return next
 	}
-	next.at, next.doubted = e.at, e.doubted
-	if !e.lapsed.IsZero() {
-		next.doubted = now.Add(doubtTime)
+	next.at, next.unusableUntil = e.at, e.unusableUntil
+	if !e.removedAt.IsZero() {
+		next.unusableUntil = now.Add(relistDelay)
 	}
 	return next
 }
--- a/services/knowledge/knowledge.go
+++ b/services/knowledge/knowledge.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package knowledge holds what a router knows of the operator's catalog and of the upstreams, and how
-// fresh that is.
+// Package knowledge holds a router's view of the operator's catalog and of the upstreams, and how
+// fresh that view is.
 package knowledge
 
 import (
@@ -17,66 +17,69 @@
 )
 
 const (
-	// lapseMost is how long an upstream whose entry has gone is still used if no other can be. Entries
-	// lapse while the store is away and are back within two seconds if the upstream lives.
-	lapseMost = 1500 * time.Millisecond
-	// lapsePart is the part of the time in which a leaving upstream still serves that is used at most.
-	lapsePart = 0.75
-	// keptCatalogs is the number of catalogs that are kept to tell others what has changed: the one in force, and those
-	// that routers some hops behind may have while operators make changes in quick succession.
-	keptCatalogs = 4
-	// keptChanges is the number of changes of upstreams that are kept for the same purpose. One of 129 ranks that start
-	// anew makes two.
-	keptChanges = 512
+	// maxLapse is how long an upstream whose entry was removed is still used if no other one is
+	// available. Entries lapse while the store is unavailable and return within two seconds if the
+	// upstream runs.
+	maxLapse = 1500 * time.Millisecond
+	// lapseFraction is the maximum fraction of the drain time for which such an upstream is used.
+	lapseFraction = 0.75
+	// maxPastCatalogs is the number of catalogs that are kept to compute deltas for other routers:
+	// the one in force and those that routers some hops behind may hold while the operator makes
+	// changes in quick succession.
+	maxPastCatalogs = 4
+	// maxRecentChanges is the number of changes of upstreams that are kept for the same purpose. A
+	// restart of one of 129 ranks makes two changes.
+	maxRecentChanges = 512
 )
 
-// State is a router's knowledge. It does no I/O and reads no clock.
+// State is a router's view of the catalog and the upstreams. It does no I/O and reads no clock.
 type State struct {
 	index *catalog.Index
-	// past holds the latest catalogs, the one in force last.
+	// past holds the latest catalogs; the last one is in force.
 	past []*catalog.Catalog
-	// recent holds the latest changes of upstreams without a gap: those from recentFrom on.
+	// recent holds the latest changes of upstreams without a gap, starting at recentFrom.
 	recent     []services.Change[upstream.Instance]
 	recentFrom services.Place
-	// catalogs and upstreams tell how far the two feeds are known.
-	catalogs, upstreams Mark
-	// proof tells up to when the catalog is known to be the newest.
+	// catalogs and upstreams are the read positions of the two feeds.
+	catalogs, upstreams Watermark
+	// proof records when the catalog was last confirmed as the newest.
 	proof     proof
-	ups       map[upstream.ID]*entry
+	entries   map[upstream.ID]*entry
 	byService map[service.ID][]upstream.ID
-	// owners holds the upstream at each address.
+	// owners maps each address to the upstream that uses it.
 	owners map[string]upstream.ID
-	// lapse is how long an upstream whose entry has gone may still be used.
+	// lapse is how long an upstream whose entry was removed may still be used.
 	lapse time.Duration
 }
 
-// New returns the knowledge of a process that has just started: none. DrainTime is how long an upstream
-// serves after it has said that it leaves, or after its entry has gone.
+// New returns the empty state of a process that has just started. drainTime is how long an upstream
+// serves after it has reported that it leaves, or after its entry was removed.
 func New(drainTime time.Duration) *State {
-	s := &State{ups: map[upstream.ID]*entry{}, owners: map[string]upstream.ID{}, byService: map[service.ID][]upstream.ID{}}
+	s := &State{entries: map[upstream.ID]*entry{}, owners: map[string]upstream.ID{}, byService: map[service.ID][]upstream.ID{}}
 	s.Rebound(drainTime)
 	return s
 }
 
-// Rebound takes over a new time for which a leaving upstream serves.
+// Rebound sets a new drain time.
 func (s *State) Rebound(drainTime time.Duration) {
-	s.lapse = min(lapseMost, time.Duration(lapsePart*float64(drainTime)))
+	s.lapse = min(maxLapse, time.Duration(lapseFraction*float64(drainTime)))
 }
 
-// TakeCatalogs takes in a part of the feed of catalogs. Versions only go up: an older one than is known
-// changes nothing. A newer one was accepted, wherever it stands: it may be that the store has lost it since.
+// TakeCatalogs applies a segment of the feed of catalogs. Versions only increase: an older version
+// than the known one is ignored. A newer version is applied wherever it was found, since it was
+// accepted even if the store has lost it since.
 func (s *State) TakeCatalogs(now time.Time, p Part[catalog.Catalog]) Fit {
 	before := s.catalogs
 	lost := p.Next.Era < before.Next.Era
-	fit := s.catalogs.fit(p.Whole, p.From, p.Next, p.AsOf)
-	if fit == FitNews || p.Whole || lost {
-		s.adopt(p.Changes) // what other parts hold is read again
+	fit := s.catalogs.advance(p.Whole, p.From, p.Next, p.AsOf)
+	if fit == FitNew || p.Whole || lost {
+		s.adopt(p.Changes) // other segments are read again
 	}
 	if s.catalogs.Known() && (!before.Known() || before.Next.Era != s.catalogs.Next.Era) {
-		s.proof.begin(now, s.catalogs.Next.Era)
+		s.proof.beginEra(now, s.catalogs.Next.Era)
 	}
-	if fit == FitNews || fit == FitSame {
-		s.proof.read(p.AsOf)
+	if fit == FitNew || fit == FitSame {
+		s.proof.recordRead(p.AsOf)
 	}
 	if s.index != nil && s.index.Version >= p.Vouch.Version {
 		s.proof.add(p.Vouch.AsOf)
@@ -89,13 +92,13 @@
 	for _, c := range changes {
 		if c.Value != nil && (s.index == nil || c.Value.Version > s.index.Version) {
 			s.index = catalog.NewIndex(c.Value)
-			s.past = append(s.past[max(0, len(s.past)+1-keptCatalogs):], c.Value)
+			s.past = append(s.past[max(0, len(s.past)+1-maxPastCatalogs):], c.Value)
 		}
 	}
-	s.arrange()
+	s.reindex()
 }
 
-// Version returns that of the catalog in force; 0 if there is none.
+// Version returns the version of the catalog in force, or 0 if there is none.
 func (s *State) Version() catalog.Version {
 	if s.index == nil {
 		return 0
@@ -103,7 +106,8 @@
 	return s.index.Version
 }
 
-// CatalogSince returns how the catalog in force differs from an earlier version; false if that is not kept.
+// CatalogSince returns the change from an earlier version to the catalog in force, or false if that
+// version is not kept.
 func (s *State) CatalogSince(v catalog.Version) (catalog.Change, bool) {
 	for _, c := range s.past {
 		if c.Version == v {
@@ -116,54 +120,56 @@
 // Index returns the catalog in force, or nil.
 func (s *State) Index() *catalog.Index { return s.index }
 
-// Catalogs tells how far the feed of catalogs is known.
-func (s *State) Catalogs() Mark { return s.catalogs }
+// Catalogs returns the read position of the feed of catalogs.
+func (s *State) Catalogs() Watermark { return s.catalogs }
 
-// TakeUpstreams takes in a part of the feed of upstreams.
+// TakeUpstreams applies a segment of the feed of upstreams.
 func (s *State) TakeUpstreams(now time.Time, p Part[upstream.Instance]) Fit {
 	before := s.upstreams
-	fit := s.upstreams.fit(p.Whole, p.From, p.Next, p.AsOf)
-	if fit != FitNews {
+	fit := s.upstreams.advance(p.Whole, p.From, p.Next, p.AsOf)
+	if fit != FitNew {
 		return fit
 	}
-	s.remember(p)
+	s.recordChanges(p)
 	returned := before.Known() && before.Next.Era != p.Next.Era
 	listed := map[upstream.ID]bool{}
 	for _, c := range p.Changes {
 		id := upstream.ID(c.Key)
 		if c.Value == nil {
-			s.gone(now, id)
+			s.markRemoved(now, id)
 			continue
 		}
 		listed[id] = true
-		s.take(now, *c.Value, c.At, returned)
+		s.put(now, *c.Value, c.At, returned)
 	}
 	if p.Whole {
-		for id := range s.ups {
+		for id := range s.entries {
 			if !listed[id] {
-				s.gone(now, id)
+				s.markRemoved(now, id)
 			}
 		}
 	}
 	s.expire(now)
-	s.arrange()
+	s.reindex()
 	return fit
 }
 
-// remember keeps a part of the feed of upstreams, so that others can be told what has changed.
-func (s *State) remember(p Part[upstream.Instance]) {
-	if p.Whole || len(p.Changes) > keptChanges {
+// recordChanges stores a segment of the feed of upstreams, so that deltas can be sent to other
+// routers.
+func (s *State) recordChanges(p Part[upstream.Instance]) {
+	if p.Whole || len(p.Changes) > maxRecentChanges {
 		s.recent, s.recentFrom = nil, p.Next
 		return
 	}
 	s.recent = append(s.recent, p.Changes...)
-	if over := len(s.recent) - keptChanges; over > 0 {
+	if over := len(s.recent) - maxRecentChanges; over > 0 {
 		s.recent = s.recent[over:]
 		s.recentFrom = s.recent[0].At
 	}
 }
 
-// UpstreamsSince returns the changes of upstreams from a place on, which lead to the mark; false if they are not kept.
+// UpstreamsSince returns the changes of upstreams from a position up to the watermark, or false if
+// they are not kept.
 func (s *State) UpstreamsSince(from services.Place) ([]services.Change[upstream.Instance], bool) {
 	if !s.upstreams.Known() || from.Before(s.recentFrom) || s.upstreams.Next.Before(from) {
 		return nil, false
@@ -172,57 +178,59 @@
 	return slices.Clone(s.recent[i:]), true
 }
 
-// Upstreams tells how far the feed of upstreams is known.
-func (s *State) Upstreams() Mark { return s.upstreams }
+// Upstreams returns the read position of the feed of upstreams.
+func (s *State) Upstreams() Watermark { return s.upstreams }
 
-// take keeps an entry. A run that was once leaving does not come back, but the upstream may start again under its id. An entry of
-// an earlier run that comes late changes nothing. Returned says that the entry stands in the store after its return from a copy.
-func (s *State) take(now time.Time, i upstream.Instance, at services.Place, returned bool) {
-	e, ok := s.ups[i.ID]
+// put stores an entry. A run that was leaving once never becomes ready again, but the upstream may
+// restart under its id. A late entry of an earlier run is ignored. returned reports whether the
+// entry was read from the store after its restore from a copy.
+func (s *State) put(now time.Time, i upstream.Instance, at services.Place, returned bool) {
+	e, ok := s.entries[i.ID]
 	if !ok || i.Born > e.instance.Born {
-		s.ups[i.ID] = &entry{instance: i, at: at}
+		s.entries[i.ID] = &entry{instance: i, at: at}
 		return
 	}
 	if i.Born == e.instance.Born {
-		s.ups[i.ID] = e.again(now, i, at, returned)
+		s.entries[i.ID] = e.relisted(now, i, at, returned)
 	}
 }
 
-func (s *State) gone(now time.Time, id upstream.ID) {
-	if e, ok := s.ups[id]; ok && e.lapsed.IsZero() {
-		e.lapsed = now
+func (s *State) markRemoved(now time.Time, id upstream.ID) {
+	if e, ok := s.entries[id]; ok && e.removedAt.IsZero() {
+		e.removedAt = now
 	}
 }
 
-// expire forgets upstreams whose entries have gone for long.
+// expire removes upstreams whose entries were removed long ago.
 func (s *State) expire(now time.Time) {
-	for id, e := range s.ups {
-		if e.lapsed.IsZero() {
+	for id, e := range s.entries {
+		if e.removedAt.IsZero() {
 			continue
 		}
-		e.past = now.Sub(e.lapsed) > s.lapse
-		if now.Sub(e.lapsed) > rememberGone {
-			delete(s.ups, id)
+		e.expired = now.Sub(e.removedAt) > s.lapse
+		if now.Sub(e.removedAt) > removedRetention {
+			delete(s.entries, id)
 		}
 	}
 }
 
-// arrange lists the upstreams of each service, sorted by id. An address belongs to the entry that came last: who
-// had it before has ended, although its entry stays until it lapses. An entry of a service that the catalog does not name is
-// not of the platform's upstreams, and takes no address from one that is.
-func (s *State) arrange() {
+// reindex lists the upstreams of each service, sorted by id. An address belongs to the latest
+// entry: the previous upstream at that address has ended, although its entry stays until it lapses.
+// Entries of services that are not in the catalog are not upstreams of the platform and own no
+// address.
+func (s *State) reindex() {
 	s.byService = map[service.ID][]upstream.ID{}
 	s.owners = map[string]upstream.ID{}
-	for id, e := range s.ups {
-		if e.past || s.index != nil && s.index.Service(service.ID(e.instance.Service)) == nil {
+	for id, e := range s.entries {
+		if e.expired || s.index != nil && s.index.Service(service.ID(e.instance.Service)) == nil {
 			continue
 		}
-		if o, ok := s.owners[e.instance.Address]; !ok || s.ups[o].at.Before(e.at) || (e.at == s.ups[o].at && id > o) {
+		if o, ok := s.owners[e.instance.Address]; !ok || s.entries[o].at.Before(e.at) || (e.at == s.entries[o].at && id > o) {
 			s.owners[e.instance.Address] = id
 		}
 	}
 	for _, id := range s.owners {
-		name := service.ID(s.ups[id].instance.Service)
+		name := service.ID(s.entries[id].instance.Service)
 		s.byService[name] = append(s.byService[name], id)
 	}
 	for _, ids := range s.byService {
@@ -230,19 +238,19 @@
 	}
 }
 
-// Usable returns the upstreams of a service that may take new work: those listed, or else those whose
-// entries have just lapsed.
+// Usable returns the upstreams of a service that accept new work: those listed, or if there are
+// none, those whose entries have lapsed recently.
 func (s *State) Usable(now time.Time, id service.ID) []upstream.Instance {
 	ids := s.byService[id]
-	listed := make([]upstream.Instance, 0, len(ids)) // it is asked for each request; grown in steps it took a sixth of a grant
+	listed := make([]upstream.Instance, 0, len(ids)) // called for each request; growing the slice took a sixth of the time of a grant
 	var lapsed []upstream.Instance
 	for _, u := range ids {
-		e := s.ups[u]
+		e := s.entries[u]
 		switch {
-		case e.instance.State != upstream.StateReady, now.Before(e.doubted):
-		case e.lapsed.IsZero():
+		case e.instance.State != upstream.StateReady, now.Before(e.unusableUntil):
+		case e.removedAt.IsZero():
 			listed = append(listed, e.instance)
-		case now.Sub(e.lapsed) <= s.lapse:
+		case now.Sub(e.removedAt) <= s.lapse:
 			lapsed = append(lapsed, e.instance)
 		}
 	}
@@ -252,29 +260,29 @@
 	return lapsed
 }
 
-// Takes reports whether an upstream may still get work. It is asked right before sending.
+// Takes reports whether work may still be sent to an upstream. It is called right before sending.
 func (s *State) Takes(now time.Time, id upstream.ID) bool {
-	e, ok := s.ups[id]
-	return ok && s.owners[e.instance.Address] == id && e.instance.State == upstream.StateReady && !now.Before(e.doubted) &&
-		(e.lapsed.IsZero() || now.Sub(e.lapsed) <= s.lapse)
+	e, ok := s.entries[id]
+	return ok && s.owners[e.instance.Address] == id && e.instance.State == upstream.StateReady && !now.Before(e.unusableUntil) &&
+		(e.removedAt.IsZero() || now.Sub(e.removedAt) <= s.lapse)
 }
 
-// Listed reports whether an upstream stands in the store as one that takes work and does not leave.
+// Listed reports whether the store lists an upstream that accepts work and is not leaving.
 func (s *State) Listed(id upstream.ID) bool {
-	e, ok := s.ups[id]
-	return ok && e.instance.State == upstream.StateReady && e.lapsed.IsZero()
+	e, ok := s.entries[id]
+	return ok && e.instance.State == upstream.StateReady && e.removedAt.IsZero()
 }
 
-// All returns the entry of every upstream that is listed.
+// All returns the entries of all listed upstreams.
 func (s *State) All() []services.Change[upstream.Instance] {
 	var out []services.Change[upstream.Instance]
-	for id, e := range s.ups {
-		if e.lapsed.IsZero() {
+	for id, e := range s.entries {
+		if e.removedAt.IsZero() {
 			out = append(out, services.Change[upstream.Instance]{Key: string(id), Value: &e.instance, At: e.at})
 		}
 	}
 	return out
 }
 
-// Complete reports whether the knowledge is enough to take callers.
+// Complete reports whether the state suffices to accept callers.
 func (s *State) Complete() bool { return s.index != nil && s.upstreams.Known() }
--- a/services/knowledge/knowledge_test.go
+++ b/services/knowledge/knowledge_test.go
@@ -15,10 +15,11 @@
 
 var begin = time.Unix(1000, 0)
 
-// place returns a place of a store that has not come back from a copy.
+// place returns a position in a store that was never restored from a copy.
 func place(o services.Offset) services.Place { return services.Place{Offset: o} }
 
-// TestCatalog checks that a catalog never reverts, and that only word of the end of the feed makes it fresher.
+// TestCatalog checks that a catalog never reverts, and that only a confirmed end of the feed makes
+// it fresher.
 func TestCatalog(t *testing.T) {
 	part := func(from, next services.Offset, asOf time.Duration, versions ...catalog.Version) Part[catalog.Catalog] {
 		p := Part[catalog.Catalog]{From: place(from), Next: place(next), AsOf: begin.Add(asOf)}
@@ -45,18 +46,18 @@
 		at      time.Duration
 	}{
 		{"a stretch before anything is known", part(3, 4, 0, 6), FitGap, 0, 0, 0},
-		{"a whole feed", whole(part(0, 3, 0, 5)), FitNews, 5, 3, 0},
+		{"a whole feed", whole(part(0, 3, 0, 5)), FitNew, 5, 3, 0},
 		{"nothing new", part(3, 3, time.Second), FitSame, 5, 3, time.Second},
 		{"late word of that", part(3, 3, time.Second/2), FitSame, 5, 3, time.Second},
-		{"an older version", part(3, 4, 2*time.Second, 4), FitNews, 5, 4, 2 * time.Second},
-		{"word of an earlier end", part(3, 3, 3*time.Second), FitOld, 5, 4, 2 * time.Second},
+		{"an older version", part(3, 4, 2*time.Second, 4), FitNew, 5, 4, 2 * time.Second},
+		{"word of an earlier end", part(3, 3, 3*time.Second), FitStale, 5, 4, 2 * time.Second},
 		{"word of a later end", part(5, 5, 3*time.Second), FitGap, 5, 4, 2 * time.Second},
 		{"a stretch that begins later", part(6, 7, 3*time.Second, 9), FitGap, 5, 4, 2 * time.Second},
-		{"a stretch that begins earlier", part(3, 6, 3*time.Second, 9), FitOld, 5, 4, 2 * time.Second},
-		{"what another router tells", told(part(4, 5, 0, 7)), FitNews, 7, 5, 2 * time.Second},
+		{"a stretch that begins earlier", part(3, 6, 3*time.Second, 9), FitStale, 5, 4, 2 * time.Second},
+		{"what another router tells", told(part(4, 5, 0, 7)), FitNew, 7, 5, 2 * time.Second},
 		{"the same by an own read", part(4, 5, 3*time.Second, 7), FitSame, 7, 5, 3 * time.Second},
-		{"an older whole feed", whole(part(0, 4, 4*time.Second, 5)), FitOld, 7, 5, 3 * time.Second},
-		{"a newer whole feed", whole(part(0, 9, 2*time.Second, 9)), FitNews, 9, 9, 3 * time.Second},
+		{"an older whole feed", whole(part(0, 4, 4*time.Second, 5)), FitStale, 7, 5, 3 * time.Second},
+		{"a newer whole feed", whole(part(0, 9, 2*time.Second, 9)), FitNew, 9, 9, 3 * time.Second},
 	}
 	for _, st := range steps {
 		fit := s.TakeCatalogs(begin, st.part)
@@ -64,9 +65,9 @@
 		if s.Index() != nil {
 			version = s.Index().Version
 		}
-		want := Mark{Next: place(st.next), AsOf: begin.Add(st.at)}
+		want := Watermark{Next: place(st.next), AsOf: begin.Add(st.at)}
 		if st.next == 0 {
-			want = Mark{}
+			want = Watermark{}
 		}
 		if fit != st.fit || version != st.version || s.Catalogs() != want {
 			t.Errorf("%s: %s, version %d, known up to %d as of %s", st.name, fit, version, s.Catalogs().Next, s.Catalogs().AsOf.Sub(begin))
@@ -74,7 +75,7 @@
 	}
 }
 
-// TestUpstreams follows the list of upstreams through what may happen to it.
+// TestUpstreams applies the changes that may happen to the list of upstreams.
 func TestUpstreams(t *testing.T) {
 	up := func(id string, st upstream.State) services.Change[upstream.Instance] {
 		return services.Change[upstream.Instance]{Key: id, Value: &upstream.Instance{ID: upstream.ID(id), Service: "s", Address: "at " + id, State: st}}
@@ -127,7 +128,8 @@
 	}
 }
 
-// TestOwners checks that an address belongs to the upstream whose entry came last, in whatever order entries are read.
+// TestOwners checks that an address belongs to the upstream with the latest entry, in whatever
+// order entries are read.
 func TestOwners(t *testing.T) {
 	up := func(id, service, address string, at services.Offset) services.Change[upstream.Instance] {
 		i := &upstream.Instance{ID: upstream.ID(id), Service: service, Address: address, State: upstream.StateReady}
@@ -169,8 +171,8 @@
 	}
 }
 
-// TestForeignEntries checks that an entry of a service that the catalog does not name takes no address from an upstream, whether the
-// catalog comes first or last.
+// TestForeignEntries checks that an entry of a service that is not in the catalog takes no address
+// from an upstream, whether the catalog arrives first or last.
 func TestForeignEntries(t *testing.T) {
 	entry := func(id, service string, at services.Offset) services.Change[upstream.Instance] {
 		i := &upstream.Instance{ID: upstream.ID(id), Service: service, Address: "here", State: upstream.StateReady}
--- a/services/knowledge/part.go
+++ b/services/knowledge/part.go
@@ -9,67 +9,74 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// Part is a stretch of a feed that this router or another one has read.
+// Part is a segment of a feed that was read by this router or another one.
 type Part[T any] struct {
-	// Whole says that the changes are everything there is, whatever was known before; From is not used.
+	// Whole reports whether Changes is a full snapshot that replaces all earlier state; From is not
+	// used then.
 	Whole bool
-	// From and Next are the places at which the stretch begins and from which the feed goes on.
+	// From and Next are the positions at which the segment begins and at which the feed continues.
 	From, Next services.Place
-	// AsOf is a time at which the feed was known to end at Next: before the read was sent.
+	// AsOf is a time at which the feed was known to end at Next. It is taken before the read is
+	// sent.
 	AsOf    time.Time
 	Changes []services.Change[T]
-	// Vouch is what the router that has told the part knows of the newest catalog.
-	Vouch Vouch
+	// Vouch is the confirmation of the newest catalog by the router that sent the segment.
+	Vouch Confirmation
 }
 
-// Mark tells how far a router knows a feed.
-type Mark struct {
-	// Next is the place from which the feed goes on.
+// Watermark is the read position of a feed.
+type Watermark struct {
+	// Next is the position at which the feed continues.
 	Next services.Place
-	// AsOf is the latest time at which Next was known to be the end of the feed; zero if nothing is known.
+	// AsOf is the latest time at which Next was known to be the end of the feed; zero if nothing
+	// was read.
 	AsOf time.Time
 }
 
 // Known reports whether the feed was read at all.
-func (m Mark) Known() bool { return !m.AsOf.IsZero() }
+func (m Watermark) Known() bool { return !m.AsOf.IsZero() }
 
-// Fit tells how a part goes with what is known.
+// Fit is the result of comparing a segment with the known state.
 type Fit string
 
-// The ways in which a part may fit.
+// The results of comparing a segment with the known state.
 const (
-	// FitNews is a part that goes on from what is known.
-	FitNews Fit = "news"
-	// FitSame is a part that ends where the knowledge does: it only shows that this was the end.
+	// FitNew is a segment that continues the known state.
+	FitNew Fit = "news"
+	// FitSame is a segment that ends at the watermark: it only confirms that this was the end of
+	// the feed.
 	FitSame Fit = "same"
-	// FitOld is a part that ends before what is known, or belongs to an earlier era of the store.
-	FitOld Fit = "old"
-	// FitGap is a part that begins after what is known: something in between is missing. After the store has come back from a copy
-	// only a whole part leads from what is known to the new era.
+	// FitStale is a segment that ends before the watermark, or belongs to an earlier era of the
+	// store.
+	FitStale Fit = "old"
+	// FitGap is a segment that begins after the watermark, so that records in between are missing.
+	// After a restore of the store from a copy, only a full snapshot leads to the new era.
 	FitGap Fit = "gap"
 )
 
-// fit tells how a stretch goes with the mark, and moves the mark if it may be taken.
-func (m *Mark) fit(whole bool, from, next services.Place, asOf time.Time) Fit {
+// advance compares a segment with the watermark, and advances the watermark if the segment can be
+// applied.
+func (m *Watermark) advance(whole bool, from, next services.Place, asOf time.Time) Fit {
 	switch {
 	case m.Known() && next.Before(m.Next):
-		return FitOld
+		return FitStale
 	case m.Known() && next == m.Next && !whole:
 		m.confirm(asOf)
 		return FitSame
 	case !whole && !m.Known(), !whole && m.Next.Before(from):
 		return FitGap
 	case !whole && from.Before(m.Next):
-		// It overlaps with what another router has told meanwhile; reading on from the mark gives the rest.
-		return FitOld
+		// The segment overlaps with one received from another router meanwhile; reading on from the
+		// watermark returns the remainder.
+		return FitStale
 	}
 	m.Next = next
 	m.confirm(asOf)
-	return FitNews
+	return FitNew
 }
 
-// confirm notes that the mark was the end of the feed at a time.
-func (m *Mark) confirm(asOf time.Time) {
+// confirm records that the watermark was the end of the feed at asOf.
+func (m *Watermark) confirm(asOf time.Time) {
 	if asOf.After(m.AsOf) {
 		m.AsOf = asOf
 	}
--- a/services/knowledge/proof.go
+++ b/services/knowledge/proof.go
@@ -10,29 +10,33 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// rewriteTime is the time after the store's return from a copy within which the operator has written again what was lost. Until then a log
-// that holds nothing newer does not prove that nothing newer was accepted.
-const rewriteTime = 2 * time.Second
+// rewriteWindow is the time within which the operator has rewritten the lost records after a
+// restore of the store from a copy. Until then, a log without a newer version does not prove that
+// no newer version was accepted.
+const rewriteWindow = 2 * time.Second
 
-// proof tells up to when the catalog in force is known to be the newest that was accepted.
+// proof records the latest time at which the catalog in force was confirmed as the newest accepted
+// one.
 type proof struct {
-	// asOf is the latest such time, zero if there is none.
+	// asOf is that time, or zero if there is none.
 	asOf time.Time
-	// since is when the store's era became known, and settled the time from which reads of its log count.
-	since, settled time.Time
+	// eraSince is when the store's era became known, and validFrom the time from which reads of its
+	// log are accepted as proof.
+	eraSince, validFrom time.Time
 }
 
-// begin notes that an era of the store became known. A store of the first era has lost nothing.
-func (p *proof) begin(now time.Time, era services.Era) {
-	p.since, p.settled = now, time.Time{}
+// beginEra records that an era of the store became known. A store in its first era has lost
+// nothing.
+func (p *proof) beginEra(now time.Time, era services.Era) {
+	p.eraSince, p.validFrom = now, time.Time{}
 	if era > 0 {
-		p.settled = now.Add(rewriteTime)
+		p.validFrom = now.Add(rewriteWindow)
 	}
 }
 
-// read notes that the log was known to hold nothing newer at a time.
-func (p *proof) read(asOf time.Time) {
-	if !asOf.Before(p.settled) {
+// recordRead records that the log contained nothing newer at asOf.
+func (p *proof) recordRead(asOf time.Time) {
+	if !asOf.Before(p.validFrom) {
 		p.add(asOf)
 	}
 }
@@ -43,32 +47,38 @@
 	}
 }
 
-// Vouch says that another router knew at a time that no later version had been accepted. The zero value says nothing.
-type Vouch struct {
+// Confirmation states that another router knew at AsOf that no version later than Version had been
+// accepted. The zero value states nothing.
+type Confirmation struct {
 	Version catalog.Version
 	AsOf    time.Time
 }
 
-// CatalogProof returns the latest time at which the catalog in force was known to be the newest; zero if there is none.
+// CatalogProof returns the latest time at which the catalog in force was confirmed as the newest;
+// zero if there is none.
 func (s *State) CatalogProof() time.Time { return s.proof.asOf }
 
-// CatalogAge returns how long ago the catalog was last known to be the newest. It is the longest time there is if it never was.
+// CatalogAge returns the time since the catalog was last confirmed as the newest. It is the maximum
+// duration if it never was.
 func (s *State) CatalogAge(now time.Time) time.Duration { return now.Sub(s.proof.asOf) }
 
-// Settle notes at a time that the store's present era had settled before.
-func (s *State) Settle(now time.Time, era services.Era) {
-	if s.catalogs.Known() && s.catalogs.Next.Era == era && now.Before(s.proof.settled) {
-		s.proof.settled = now
+// EndRewrite records at now that another process found the rewrite window of the current era to be
+// over.
+func (s *State) EndRewrite(now time.Time, era services.Era) {
+	if s.catalogs.Known() && s.catalogs.Next.Era == era && now.Before(s.proof.validFrom) {
+		s.proof.validFrom = now
 	}
 }
 
-// Settles returns the time from which reads prove again that the catalog in force is the newest, and whether none has yet.
-func (s *State) Settles() (from time.Time, ok bool) {
-	return s.proof.settled, s.proof.asOf.Before(s.proof.settled)
+// ProofFrom returns the time from which reads confirm again that the catalog in force is the
+// newest, and whether that confirmation is still missing.
+func (s *State) ProofFrom() (from time.Time, ok bool) {
+	return s.proof.validFrom, s.proof.asOf.Before(s.proof.validFrom)
 }
 
-// Unsettled returns since when the store's era is known, and whether it may still lack what the operator has written before.
-func (s *State) Unsettled() (since time.Time, ok bool) {
-	_, ok = s.Settles()
-	return s.proof.since, ok
+// RewritePending returns when the store's era became known, and whether the store may still lack
+// records that the operator wrote earlier.
+func (s *State) RewritePending() (since time.Time, ok bool) {
+	_, ok = s.ProofFrom()
+	return s.proof.eraSince, ok
 }
--- a/services/knowledge/proof_test.go
+++ b/services/knowledge/proof_test.go
@@ -11,15 +11,17 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// TestCatalogProof checks up to when the catalog in force counts as the newest: a log that holds nothing newer proves it, but not in the
-// seconds after the store came back from a copy, in which the operator may still write again what was lost.
+// TestCatalogProof checks until when the catalog in force is considered the newest. A log without a
+// newer version proves it, but not in the seconds after the store was restored from a copy, in
+// which the operator may still write lost records again.
 func TestCatalogProof(t *testing.T) {
 	at := func(era services.Era, o services.Offset) services.Place { return services.Place{Era: era, Offset: o} }
 	ms := func(n int) time.Time { return begin.Add(time.Duration(n) * time.Millisecond) }
 	type step struct {
 		now  int
 		part Part[catalog.Catalog]
-		// proven is up to when the catalog is known to be the newest then; never if negative.
+		// proven is the time up to which the catalog is then known to be the newest; negative for
+		// never.
 		proven int
 	}
 	read := func(era services.Era, asOf int, versions ...catalog.Version) Part[catalog.Catalog] {
@@ -30,7 +32,7 @@
 		return p
 	}
 	vouched := func(p Part[catalog.Catalog], v catalog.Version, asOf int) Part[catalog.Catalog] {
-		p.Vouch = Vouch{Version: v, AsOf: ms(asOf)}
+		p.Vouch = Confirmation{Version: v, AsOf: ms(asOf)}
 		return p
 	}
 	const never = -1
--- a/services/knowledge/return_test.go
+++ b/services/knowledge/return_test.go
@@ -13,8 +13,8 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// TestCatalogAfterReturn plays reads and what other routers tell, in the orders in which they may come, after the store has come back
-// from a copy.
+// TestCatalogAfterReturn applies reads and updates from other routers, in the orders in which they
+// may arrive, after the store was restored from a copy.
 func TestCatalogAfterReturn(t *testing.T) {
 	at := func(era services.Era, o services.Offset) services.Place { return services.Place{Era: era, Offset: o} }
 	part := func(whole bool, from, next services.Place, ms int, versions ...catalog.Version) Part[catalog.Catalog] {
@@ -34,36 +34,36 @@
 		next    services.Place
 	}
 	cases := map[string][]step{
-		"the copy ends before":            {{copied, FitNews, 48, at(2, 11)}},
-		"the copy ends where the log did": {{part(true, services.Place{}, at(2, 15), 100, 34), FitNews, 48, at(2, 15)}},
-		"and is overtaken by new records": {{part(true, services.Place{}, at(2, 19), 100, 62), FitNews, 62, at(2, 19)}},
+		"the copy ends before":            {{copied, FitNew, 48, at(2, 11)}},
+		"the copy ends where the log did": {{part(true, services.Place{}, at(2, 15), 100, 34), FitNew, 48, at(2, 15)}},
+		"and is overtaken by new records": {{part(true, services.Place{}, at(2, 19), 100, 62), FitNew, 62, at(2, 19)}},
 		"no records of the new era are missed": {
 			{part(false, at(2, 15), at(2, 15), 100), FitGap, 48, at(1, 15)},
 			{part(false, at(2, 15), at(2, 16), 100, 52), FitGap, 48, at(1, 15)},
-			{copied, FitNews, 48, at(2, 11)},
+			{copied, FitNew, 48, at(2, 11)},
 		},
 		"an answer from before comes late": {
-			{copied, FitNews, 48, at(2, 11)},
-			{part(false, at(1, 15), at(1, 15), 50), FitOld, 48, at(2, 11)},
-			{part(false, at(1, 15), at(1, 16), 50), FitOld, 48, at(2, 11)},
-			{part(true, services.Place{}, at(1, 20), 50, 48), FitOld, 48, at(2, 11)},
+			{copied, FitNew, 48, at(2, 11)},
+			{part(false, at(1, 15), at(1, 15), 50), FitStale, 48, at(2, 11)},
+			{part(false, at(1, 15), at(1, 16), 50), FitStale, 48, at(2, 11)},
+			{part(true, services.Place{}, at(1, 20), 50, 48), FitStale, 48, at(2, 11)},
 		},
 		"it holds a version that is lost": {
-			{copied, FitNews, 48, at(2, 11)},
-			{part(false, at(1, 15), at(1, 16), 50, 50), FitOld, 50, at(2, 11)},
+			{copied, FitNew, 48, at(2, 11)},
+			{part(false, at(1, 15), at(1, 16), 50, 50), FitStale, 50, at(2, 11)},
 		},
 		"another router knows a version that is lost": {
-			{copied, FitNews, 48, at(2, 11)},
-			{part(true, services.Place{}, at(2, 11), 120, 55), FitNews, 55, at(2, 11)},
+			{copied, FitNew, 48, at(2, 11)},
+			{part(true, services.Place{}, at(2, 11), 120, 55), FitNew, 55, at(2, 11)},
 		},
 		"the operator writes again, one by one": {
-			{copied, FitNews, 48, at(2, 11)},
-			{part(false, at(2, 11), at(2, 13), 200, 37, 48), FitNews, 48, at(2, 13)},
-			{part(false, at(2, 13), at(2, 14), 300, 52), FitNews, 52, at(2, 14)},
+			{copied, FitNew, 48, at(2, 11)},
+			{part(false, at(2, 11), at(2, 13), 200, 37, 48), FitNew, 48, at(2, 13)},
+			{part(false, at(2, 13), at(2, 14), 300, 52), FitNew, 52, at(2, 14)},
 		},
 		"two returns, of which one was not seen": {
-			{part(true, services.Place{}, at(3, 10), 100, 31), FitNews, 48, at(3, 10)},
-			{copied, FitOld, 48, at(3, 10)},
+			{part(true, services.Place{}, at(3, 10), 100, 31), FitNew, 48, at(3, 10)},
+			{copied, FitStale, 48, at(3, 10)},
 		},
 	}
 	for name, steps := range cases {
@@ -80,7 +80,8 @@
 	}
 }
 
-// TestUpstreamsAfterReturn has the store come back from a copy that lists upstreams as they were before they left, came, or started again.
+// TestUpstreamsAfterReturn restores the store from a copy that lists upstreams as they were before
+// they left, arrived or restarted.
 func TestUpstreamsAfterReturn(t *testing.T) {
 	at := func(era services.Era, o services.Offset) services.Place { return services.Place{Era: era, Offset: o} }
 	const ready, leaving = upstream.StateReady, upstream.StateLeaving
@@ -91,11 +92,12 @@
 	}
 	first := changes{up("a", 1, "x", ready, at(1, 0)), up("b", 1, "y", ready, at(1, 1))}
 	cases := map[string]struct {
-		// lost is what was written after the copy, and copied what the copy lists.
+		// lost is what was written after the copy was taken, and copied what the copy lists.
 		lost, copied changes
-		// then is what is written after the return.
+		// then is what is written after the restore.
 		then changes
-		// want lists who takes work right after the return, and later a while after it.
+		// want lists the upstreams that accept work right after the restore, and later those that
+		// do some time after it.
 		want, later []upstream.ID
 	}{
 		"nothing was lost": {nil, changes{up("a", 1, "x", ready, at(2, 0)), up("b", 1, "y", ready, at(2, 1))}, nil, ids("a", "b"), ids("a", "b")},
@@ -148,7 +150,7 @@
 			if got := taking(s, now); !slices.Equal(got, c.want) {
 				t.Errorf("after the return %v take work, want %v", got, c.want)
 			}
-			now = now.Add(2 * doubtTime)
+			now = now.Add(2 * relistDelay)
 			s.TakeUpstreams(now, Part[upstream.Instance]{From: at(2, 3), Next: at(2, 4), AsOf: now})
 			if got := taking(s, now); !slices.Equal(got, c.later) {
 				t.Errorf("a while after it %v take work, want %v", got, c.later)
@@ -159,7 +161,8 @@
 
 func ids(list ...upstream.ID) []upstream.ID { return list }
 
-// taking returns who may get work of a service at last: Usable names them, and Takes agrees right before sending.
+// taking returns the upstreams that may get work of a service: Usable lists them, and Takes agrees
+// right before sending.
 func taking(s *State, now time.Time) []upstream.ID {
 	var out []upstream.ID
 	for _, i := range s.Usable(now, "s") {
--- a/services/peer/greeting.go
+++ b/services/peer/greeting.go
@@ -13,7 +13,7 @@
 // is sent in the next message.
 const maxEntries = 200
 
-// GossipMessage is a gossip message: the changes in the sender's table that the receiver has not
+// GossipMessage carries the changes in the sender's table that the receiver has not
 // merged yet.
 type GossipMessage struct {
 	From  string
--- a/services/peer/peer.go
+++ b/services/peer/peer.go
@@ -71,7 +71,7 @@
 	return cmp.Or(cmp.Compare(s.Start, o.Start), cmp.Compare(s.Revision, o.Revision))
 }
 
-// GossipEntry is the gossip entry of one process.
+// GossipEntry describes one process in a gossip message.
 type GossipEntry struct {
 	Info  Info
 	Stamp Stamp
--- a/services/peer/spread_test.go
+++ b/services/peer/spread_test.go
@@ -132,7 +132,7 @@
 		}
 		if !n.frozen {
 			n.table.Sweep(m.now)
-			m.greet(n)
+			m.gossipRound(n)
 		}
 		m.after(modelRound, round)
 	}
@@ -141,13 +141,13 @@
 
 func (m *model) kill(n *node) { n.down = true }
 
-// greet sends a gossip round of a router: to its neighbours, and to the seeds while it receives no
-// messages.
-func (m *model) greet(n *node) {
+// gossipRound sends the gossip messages of a router: to its neighbours, and to the seeds while it
+// receives no messages.
+func (m *model) gossipRound(n *node) {
 	n.nextAt = m.now.Add(modelGap)
 	n.gossipedAt = n.table.Position()
 	targets := n.table.Targets(m.now, m.rand.IntN)
-	if n.table.Alone(m.now) {
+	if n.table.NoContact(m.now) {
 		for _, s := range m.seeds {
 			targets = append(targets, Target{Address: m.nodes[s].info.Address})
 		}
@@ -168,7 +168,7 @@
 	m.after(max(n.nextAt.Sub(m.now), 0), func() {
 		n.pending = false
 		if !n.down && !n.frozen && n.table.Position() != n.gossipedAt {
-			m.greet(n)
+			m.gossipRound(n)
 		}
 	})
 }
--- a/services/peer/table.go
+++ b/services/peer/table.go
@@ -203,8 +203,8 @@
 	return float64(reached) < minContactFraction*float64(len(neighbours))
 }
 
-// Alone reports whether no other process has sent a message within silenceTimeout.
-func (t *Table) Alone(now time.Time) bool {
+// NoContact reports whether no other process has sent a message within silenceTimeout.
+func (t *Table) NoContact(now time.Time) bool {
 	for name, e := range t.nodes {
 		if name != t.self && now.Sub(e.lastContact) < silenceTimeout {
 			return false
