--- a/services/rank/agent.go
+++ b/services/rank/agent.go
@@ -255,7 +255,7 @@
 
 // lockedHear is hear for a caller that holds the lock.
 func (a *Agent) lockedHear(now time.Time, l election.Lead) bool {
-	leads := a.candidate.Hear(now, l)
+	leads := a.candidate.Receive(now, l)
 	if leads {
 		a.tries = 0
 	}
@@ -305,7 +305,7 @@
 		a.born, a.notes, a.maps = s.Born, services.RankNotes{}, nil
 	}
 	a.placed = now
-	a.candidate.Place(now, s.Group, int(s.Rank), s.Size)
+	a.candidate.SetRank(now, s.Group, int(s.Rank), s.Size)
 	s.Noted = a.notes
 	return nil
 }
--- a/services/rank/claim.go
+++ b/services/rank/claim.go
@@ -49,7 +49,7 @@
 func (a *Agent) led() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	_, _, led := a.candidate.Led(clock.Now())
+	_, _, led := a.candidate.CurrentLead(clock.Now())
 	return led
 }
 
@@ -66,7 +66,7 @@
 	defer a.mu.Unlock()
 	a.claiming = false
 	if err == nil && !won {
-		a.candidate.Beaten(election.AuthorityAt(end))
+		a.candidate.SetClaimed(election.AuthorityAt(end))
 	}
 	return won, end, err
 }
--- a/services/rank/elect.go
+++ b/services/rank/elect.go
@@ -52,7 +52,7 @@
 	if r.Foreign = own != "" && own != ask.Group; r.Foreign {
 		return nil
 	}
-	r.Lead, r.Age, r.Led = p.a.candidate.Led(clock.Now())
+	r.Lead, r.Age, r.Led = p.a.candidate.CurrentLead(clock.Now())
 	r.Claiming = p.a.claiming
 	return nil
 }
@@ -205,7 +205,7 @@
 func (a *Agent) wait() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.candidate.Wait(clock.Now())
+	a.candidate.Defer(clock.Now())
 }
 
 // surroundings returns which processes there are, as it was read lately.
--- a/services/rank/lead_test.go
+++ b/services/rank/lead_test.go
@@ -156,7 +156,7 @@
 			continue
 		}
 		a.api.a.mu.Lock()
-		if lead, _, led := a.api.a.candidate.Led(time.Now()); led {
+		if lead, _, led := a.api.a.candidate.CurrentLead(time.Now()); led {
 			heard[lead.Rank]++
 		}
 		a.api.a.mu.Unlock()
--- a/services/rank/leadership.go
+++ b/services/rank/leadership.go
@@ -65,7 +65,7 @@
 func (a *Agent) Leadership(now time.Time) Leadership {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	lead, silence, led := a.candidate.Led(now)
+	lead, silence, led := a.candidate.CurrentLead(now)
 	return Leadership{
 		Group: a.candidate.Group(), Rank: group.Rank(a.candidate.Rank()), Led: led, Authority: lead.Authority, Claimed: a.candidate.Claimed(),
 		Silence: silence, Tries: a.tries, LastTry: a.lastTry,
