--- a/services/rank/claim.go
+++ b/services/rank/claim.go
@@ -18,20 +18,23 @@
 )
 
 const (
-	// claimerTime bounds the question to an agent that has just claimed whether it leads: it is busy asking all others then.
-	claimerTime = 300 * time.Millisecond
-	// maxClaims bounds the claims that are tried on end, each after another one that came first.
+	// claimerTimeout bounds the question to an agent that has just claimed whether it leads: it is
+	// busy polling all others then.
+	claimerTimeout = 300 * time.Millisecond
+	// maxClaims is the maximum number of consecutive claims, each after another agent's claim came
+	// first.
 	maxClaims = 3
 )
 
-// errClaimsBeaten reports that claims of others came first each time.
-var errClaimsBeaten = eris.New("other claims came first")
+// errClaimsLost reports that other agents' claims came first each time.
+var errClaimsLost = eris.New("lost to other claims on each attempt")
 
-// claim claims the next authority. It returns 0 if another agent has claimed one that it makes use of.
+// claim claims the next authority. It returns 0 if another agent has claimed an authority and uses
+// it.
 func (a *Agent) claim(ctx context.Context, agents []peer.Info, g group.ID) (election.Authority, error) {
 	for range maxClaims {
 		if a.led() {
-			return 0, nil // by one that has begun while others were asked
+			return 0, nil // another agent has taken over while others were asked
 		}
 		won, end, err := a.claimOnce(ctx, g)
 		if err != nil || won {
@@ -42,10 +45,10 @@
 			return 0, err
 		}
 	}
-	return 0, errClaimsBeaten
+	return 0, errClaimsLost
 }
 
-// led reports whether a coordinator is heard.
+// led reports whether the agent has contact with a coordinator.
 func (a *Agent) led() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -53,9 +56,10 @@
 	return led
 }
 
-// claimOnce adds a claim if no other has come since the latest that is known. It returns where the log of claims ends then.
+// claimOnce adds a claim if no other was added since the latest known one. It returns where the log
+// of claims ends afterwards.
 func (a *Agent) claimOnce(ctx context.Context, g group.ID) (won bool, end services.Place, err error) {
-	cctx, cancel := context.WithTimeout(ctx, claimTime)
+	cctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	a.mu.Lock()
 	a.claiming = true
@@ -71,9 +75,9 @@
 	return won, end, err
 }
 
-// claimerLeads reports whether the agent whose claim is the last before a place makes use of it, or may.
+// claimerLeads reports whether the agent whose claim is the last before a position uses it, or may.
 func (a *Agent) claimerLeads(ctx context.Context, agents []peer.Info, g group.ID, end services.Place) (bool, error) {
-	cctx, cancel := context.WithTimeout(ctx, claimTime)
+	cctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	name, err := a.opts.Store.Claimer(cctx, string(g), end)
 	if err != nil {
@@ -85,11 +89,11 @@
 		event.Msg("claim-beaten")
 		return false, nil
 	}
-	r, err := a.askLead(ctx, agents[at].Address, g, claimerTime)
-	leads := a.follows(r)
+	r, err := a.askLead(ctx, agents[at].Address, g, claimerTimeout)
+	leads := a.accept(r)
 	event.Bool("leads", leads).Bool("claiming", r.Claiming).Err(err).Msg("claim-beaten")
 	if r.Claiming && !leads {
-		a.wait()
+		a.deferCampaign()
 		leads = true
 	}
 	return leads, nil
--- a/services/rank/claim_test.go
+++ b/services/rank/claim_test.go
@@ -17,7 +17,8 @@
 	"github.com/rs/zerolog"
 )
 
-// claimStore lists two agents and answers claims in turn: each ends the log at one of ends, and wins if won says so.
+// claimStore lists two agents and answers successive claims: each ends the log at one of ends, and
+// succeeds if won is set.
 type claimStore struct {
 	ends   []services.Offset
 	won    bool
@@ -43,25 +44,25 @@
 }
 
 func (s *claimStore) Changes(context.Context, services.Place, time.Duration) ([]services.Change[peer.Info], services.Place, error) {
-	return nil, services.Place{}, errPlayed
+	return nil, services.Place{}, errNoAnswer
 }
 
-// callFunc is a pool whose calls are a function.
+// callFunc is a pool whose calls run a function.
 type callFunc func(method string) error
 
 func (f callFunc) Call(_ context.Context, _, method string, _, _ any) error { return f(method) }
 
-// claimAgent returns an agent of a group of two that would stand up.
+// claimAgent returns an agent of a group of two that is due to start a candidacy.
 func claimAgent(s Store) *Agent {
 	e := &engine{status: services.RankStatus{Group: "g", Size: 2}}
 	a := New(begin, Options{Self: peer.Info{Name: "side-1", Address: "1", Service: "m"}, Engine: e, Store: s, Logger: zerolog.Nop()})
 	a.opts.Pool = callFunc(func(string) error { return nil })
-	a.place()
+	a.readGroup()
 	return a
 }
 
-// TestLedMeanwhile checks that an agent does not claim when a coordinator has begun while it asked others: its claim would
-// depose that.
+// TestLedMeanwhile checks that an agent does not claim when a coordinator has taken over while it
+// asked others: its claim would depose that coordinator.
 func TestLedMeanwhile(t *testing.T) {
 	s := &claimStore{ends: []services.Offset{5}, won: true}
 	a := claimAgent(s)
@@ -69,18 +70,18 @@
 		var r Reply
 		return NewAPI(a).Status(Ask{Lead: lead(4)}, &r)
 	})
-	a.stand(t.Context())
+	a.campaign(t.Context())
 	if len(s.claims) != 0 {
 		t.Errorf("claims on %v although authority 4 leads", s.claims)
 	}
 }
 
-// TestClaimsRest checks that an agent takes the end of the log from the store, also a lower one, and that claims that lose on end
-// make it rest for longer and longer.
+// TestClaimsRest checks that an agent takes the end of the log from the store, also a lower one,
+// and that consecutive lost claims make it back off for longer and longer.
 func TestClaimsRest(t *testing.T) {
 	s := &claimStore{ends: []services.Offset{9, 3, 4}}
 	a := claimAgent(s)
-	a.stand(t.Context())
+	a.campaign(t.Context())
 	want := []services.Offset{0, 9, 3}
 	if len(s.claims) != len(want) || s.claims[1] != want[1] || s.claims[2] != want[2] {
 		t.Errorf("claims on %v, want %v", s.claims, want)
@@ -89,14 +90,14 @@
 	if a.due(now.Add(200 * time.Millisecond)) {
 		t.Error("the agent stands up again at once")
 	}
-	a.stand(t.Context())
+	a.campaign(t.Context())
 	if a.due(time.Now().Add(400 * time.Millisecond)) {
 		t.Error("the second pause is no longer than the first")
 	}
 }
 
-// TestClaimedTwice has two agents claim the same offset before and after the store has come back from a copy: they do not get the same
-// authority, and the later one leads.
+// TestClaimedTwice has two agents claim the same offset before and after the store was restored
+// from a copy: they must not get the same authority, and the later one must lead.
 func TestClaimedTwice(t *testing.T) {
 	s := &claimStore{ends: []services.Offset{7}, won: true, era: 1}
 	first, second := claimAgent(s), claimAgent(s)
@@ -107,8 +108,8 @@
 		t.Fatalf("authority %d before the return, %d after it", before, after)
 	}
 	for _, a := range []*Agent{first, second} {
-		a.hear(begin, election.Lead{Group: "g", Authority: before, Lease: time.Second})
-		if !a.hear(begin, election.Lead{Group: "g", Authority: after, Lease: time.Second}) || a.hear(begin, election.Lead{Group: "g", Authority: before, Lease: time.Second}) {
+		a.receive(begin, election.Lead{Group: "g", Authority: before, Lease: time.Second})
+		if !a.receive(begin, election.Lead{Group: "g", Authority: after, Lease: time.Second}) || a.receive(begin, election.Lead{Group: "g", Authority: before, Lease: time.Second}) {
 			t.Errorf("authority %d is followed although %d was heard", before, after)
 		}
 	}
--- a/services/rank/coordinator.go
+++ b/services/rank/coordinator.go
@@ -23,86 +23,94 @@
 )
 
 const (
-	// lookEvery is the time between two looks at the ranks. Demand shifts every few seconds; the time of
-	// a look is part of the time in which steps are too long.
-	lookEvery = 70 * time.Millisecond
-	// nodesEvery is the time between two reads of the list of processes.
-	nodesEvery = 4 * time.Second
-	// alone is how long a coordinator goes on that reaches less than half of the ranks.
-	alone = 1500 * time.Millisecond
-	// directEvery is the time between two direct questions to an engine whose agent is silent: they are paid for. No more
-	// than directAtOnce are under way: where many agents are silent it is the coordinator that is slow.
-	directEvery  = time.Second
-	directAtOnce = 4
-	// relayTime bounds a question that an agent relays to others, and lateAfter is the time from which the next look
-	// does not wait for who takes so long.
-	relayTime = 2 * peerTime
-	lateAfter = 60 * time.Millisecond
-	// reportTime bounds telling a router.
-	reportTime = 300 * time.Millisecond
+	// pollInterval is the time between two poll rounds of the ranks. Demand shifts every few
+	// seconds; the duration of a round is part of the time in which steps are too long.
+	pollInterval = 70 * time.Millisecond
+	// nodesInterval is the time between two reads of the list of processes.
+	nodesInterval = 4 * time.Second
+	// isolationTimeout is how long a coordinator continues that reaches less than half of the
+	// ranks.
+	isolationTimeout = 1500 * time.Millisecond
+	// directInterval is the time between two direct requests to an engine whose agent is silent, as
+	// they are paid for. At most maxDirect run at once: where many agents are silent, it is the
+	// coordinator that is slow.
+	directInterval = time.Second
+	maxDirect      = 4
+	// relayTimeout bounds a request that an agent relays to others, and lateAfter is the response
+	// time from which the next round does not wait for the same part.
+	relayTimeout = 2 * peerTimeout
+	lateAfter    = 60 * time.Millisecond
+	// reportTimeout bounds a report to a router.
+	reportTimeout = 300 * time.Millisecond
 )
 
-// member is one rank as the coordinator sees it.
+// member is the coordinator's record of one rank.
 type member struct {
 	info   peer.Info
 	status services.RankStatus
-	// start is that of the rank's agent.
+	// start identifies the start of the rank's agent.
 	start Start
-	// heard is the time of the latest status, and sent that of the question for it; asked that of the latest direct question.
-	heard, sent, asked time.Time
-	// ended is the time of the latest question after which the agent has said that the engine has ended.
+	// lastContact is the time of the latest status, sent that of the request for it, and directAt
+	// that of the latest direct request.
+	lastContact, sent, directAt time.Time
+	// ended is the time of the latest request after which the agent has reported that the engine
+	// has ended.
 	ended  time.Time
 	counts heldCounts
 	known  bool
 }
 
-// coordinator is one agent's time as coordinator.
+// coordinator holds the state of one agent's term as coordinator.
 type coordinator struct {
 	a *Agent
-	// logger names the group in each line: a service may have several.
+	// logger adds the group to each line: a service may have several.
 	logger  zerolog.Logger
 	own     election.Lead
 	service string
 	fence   services.Fence
 	first   services.RankStatus
-	// surroundings is what was last found; found holds what followNodes has found since.
-	surroundings
-	found atomic.Pointer[surroundings]
+	// clusterView is the view in use; found is the latest that followNodes has read.
+	clusterView
+	found atomic.Pointer[clusterView]
 	// members holds the ranks, in their order.
 	members []*member
 	planner *planner
-	// pending is the version that all ranks are armed with, until its pass has begun, and pendingFrom when they were: what
-	// was asked before tells nothing of it.
+	// pending is the version that all ranks are armed with, until its pass has begun. pendingFrom
+	// is when they were armed: answers to earlier requests do not show it.
 	pending     expertmap.Version
 	pendingFrom time.Time
-	// version is the latest that this coordinator has given out. Each authority has a range of its own,
-	// above those of all earlier ones: a rank takes no version that is not above all it had.
+	// version is the latest that this coordinator has assigned. Each authority has a range of its
+	// own above those of all earlier ones: a rank accepts no version that is not above all it had.
 	version expertmap.Version
-	// notedAt and notedStep are when the load of the group was last logged, and its pass then.
-	notedAt   time.Time
-	notedStep group.Step
-	reached   time.Time
-	lost      bool
-	// moved says that the own rank is another one since its group has formed anew.
+	// loggedAt and loggedStep are when the load of the group was last logged, and its pass then.
+	loggedAt   time.Time
+	loggedStep group.Step
+	reached    time.Time
+	lost       bool
+	// moved reports whether the coordinator's own rank has changed since its group has formed
+	// again.
 	moved bool
-	// foreign holds the agents that belong to another group, and when they said so.
+	// foreign holds the agents that belong to another group, and when they reported it.
 	foreign map[string]time.Time
 	sending sync.WaitGroup
 	book    *balance.Book
-	// latest is the load that routers were told last.
+	// latest is the load that was last reported to routers.
 	latest atomic.Pointer[balance.Group]
-	// parts are those of the agents, and partOf tells the part of each agent by its name. Inbox holds what they have answered. Outstanding holds the parts that are being asked, late those
-	// whose answers took long; both by the name of the first agent.
+	// parts are the parts of the agents, and partOf maps an agent's name to the index of its part.
+	// inbox holds their answers. outstanding holds the parts with a request under way, late those
+	// whose answers took long; both are keyed by the name of the first agent.
 	parts             []part
 	partOf            map[string]int
 	inbox             chan answers
 	outstanding, late map[string]bool
-	// failedRelays holds when an agent has failed to relay, and asking counts the engines that are being asked directly.
+	// failedRelays holds when an agent failed to relay, and asking counts the direct requests to
+	// engines under way.
 	failedRelays map[string]time.Time
 	asking       atomic.Int32
-	// looked is the mean time from one look to the next, longer ones counted at once; lookedAt is the begin of the latest.
-	looked   time.Duration
-	lookedAt time.Time
+	// roundTime is the mean time from one round to the next; a longer one is used at once.
+	// roundBeganAt is the start of the latest round.
+	roundTime    time.Duration
+	roundBeganAt time.Time
 }
 
 func newCoordinator(a *Agent, lead election.Lead, s services.RankStatus) *coordinator {
@@ -119,62 +127,62 @@
 	return c
 }
 
-// inboxSize is the number of answers that wait for a coordinator without holding up who brings them.
+// inboxSize is the number of answers that can queue for a coordinator without blocking the senders.
 const inboxSize = 64
 
-// lead returns what the coordinator tells of itself.
+// lead returns the announcement of the coordinator.
 func (c *coordinator) lead() election.Lead {
 	l := c.own
-	l.Lease = election.Lease(c.looked)
+	l.Lease = election.Lease(c.roundTime)
 	return l
 }
 
-// lookKeep is the weight of the past in the mean time from one look to the next.
-const lookKeep = 0.7
+// roundDecay is the weight of the past in the mean time from one round to the next.
+const roundDecay = 0.7
 
-// noteLook notes the begin of a look.
-func (c *coordinator) noteLook(now time.Time) {
-	if !c.lookedAt.IsZero() {
-		took := now.Sub(c.lookedAt)
-		c.looked = max(took, time.Duration(lookKeep*float64(c.looked)+(1-lookKeep)*float64(took)))
+// noteRound records the start of a round.
+func (c *coordinator) noteRound(now time.Time) {
+	if !c.roundBeganAt.IsZero() {
+		took := now.Sub(c.roundBeganAt)
+		c.roundTime = max(took, time.Duration(roundDecay*float64(c.roundTime)+(1-roundDecay)*float64(took)))
 	}
-	c.lookedAt = now
+	c.roundBeganAt = now
 }
 
-// run coordinates until the authority is lost, and says why.
+// run coordinates until the authority is lost, and returns the reason.
 func (c *coordinator) run(ctx context.Context) string {
 	defer c.sending.Wait()
 	cctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c.sending.Go(func() { c.followNodes(cctx, nodesEvery, claimPause) })
+	c.sending.Go(func() { c.followNodes(cctx, nodesInterval, storeRetryInterval) })
 	for ctx.Err() == nil {
 		begun := clock.Now()
-		c.lookAround()
-		c.look(ctx, true)
+		c.updateView()
+		c.poll(ctx, true)
 		now := clock.Now()
 		switch {
 		case c.moved:
 			return "the rank beside it is another one"
 		case c.lost:
 			return "another coordinator has a higher authority"
-		case now.Sub(c.reached) > alone:
+		case now.Sub(c.reached) > isolationTimeout:
 			return "most ranks are out of reach"
 		}
-		c.note(now)
-		c.tellRouters(ctx, now)
+		c.logLoad(now)
+		c.reportToRouters(ctx, now)
 		c.improve(ctx, now)
-		sleep.For(ctx, lookEvery-clock.Since(begun))
+		sleep.For(ctx, pollInterval-clock.Since(begun))
 	}
 	return "process stops"
 }
 
-// lookAround takes over what was found of the other processes.
-func (c *coordinator) lookAround() {
+// updateView adopts the latest cluster view.
+func (c *coordinator) updateView() {
 	found := c.found.Load()
 	if found == nil || found.at.Equal(c.at) && found.engine == c.engine {
 		return
 	}
-	c.surroundings = *found
+	c.clusterView = *found
 	c.parts, c.partOf = split(c.agents), map[string]int{}
 	for i, p := range c.parts {
 		for _, n := range p {
@@ -183,21 +191,22 @@
 	}
 }
 
-// improve changes the expert map if that pays, after it has settled what an earlier coordinator left.
+// improve changes the expert map if that pays, after it has undone what an earlier coordinator left
+// unfinished.
 func (c *coordinator) improve(ctx context.Context, now time.Time) {
 	d := &driver{c: c}
 	status, ok := c.statuses(now)
 	if !ok {
 		c.planner = nil
-		if silent, others, ok := c.statusesBut(now); ok {
-			d.settleWithout(ctx, silent, others)
+		if silent, others, ok := c.statusesExceptOne(now); ok {
+			d.reconcileWithout(ctx, silent, others)
 		}
 		return
 	}
-	if c.waits(status) {
+	if c.awaitsPass(status) {
 		return
 	}
-	if d.settle(ctx, status) || c.engine == nil || c.engine.Layers == 0 {
+	if d.reconcile(ctx, status) || c.engine == nil || c.engine.Layers == 0 {
 		return
 	}
 	if c.planner == nil || c.planner.epoch != status[0].Epoch || c.planner.current.Version != status[0].Map {
@@ -209,12 +218,12 @@
 	}
 	c.planner.watch(now, c.counts())
 	speed := make([]float64, len(c.members))
-	writers := 0.0
+	streams := 0.0
 	for i, m := range c.members {
 		speed[i] = 1 / max(m.status.Pace, 1)
-		writers += float64(m.status.Running) / float64(len(c.members))
+		streams += float64(m.status.Running) / float64(len(c.members))
 	}
-	next, err := c.planner.plan(now, speed, writers)
+	next, err := c.planner.plan(now, speed, streams)
 	if err != nil {
 		c.logger.Error().Err(err).Int("ranks", len(speed)).Msg("plan-failed")
 	}
@@ -234,8 +243,8 @@
 	return counts
 }
 
-// waits reports whether the ranks are still to begin the pass that takes the latest map.
-func (c *coordinator) waits(status []services.RankStatus) bool {
+// awaitsPass reports whether the ranks have yet to begin the pass that uses the latest map.
+func (c *coordinator) awaitsPass(status []services.RankStatus) bool {
 	if c.pending == 0 {
 		return false
 	}
--- a/services/rank/counts.go
+++ b/services/rank/counts.go
@@ -15,39 +15,44 @@
 )
 
 const (
-	// countsPerLook is the number of counters that a coordinator asks for in a look, at about a byte each: with
-	// 14 looks a second some 350 KB/s, a third of the slowest link that agents have (8 Mbit/s).
-	countsPerLook = 24_000
-	// fewestCounted is the number of ranks that are asked in any case, and usualCounted that which is asked where
-	// countsPerLook allows it. Demand is the group's: requests go to ranks by load alone, so a few ranks show it. Of
-	// twelve ranks, worth with 4 was 0.704 and with 8 it was 0.712.
-	fewestCounted = 4
-	usualCounted  = 8
+	// countsPerRound is the number of counters that a coordinator requests in a poll round, at
+	// about a byte each: with 14 rounds a second some 350 KB/s, a third of the slowest link that
+	// agents have (8 Mbit/s).
+	countsPerRound = 24_000
+	// minCountedRanks is the number of ranks that are always asked for counts, and
+	// defaultCountedRanks the number that is asked where countsPerRound allows it. Demand is common
+	// to the group: requests go to ranks by load alone, so a few ranks show it. Of twelve ranks, 4
+	// gave a worth of 0.704 and 8 gave 0.712.
+	minCountedRanks     = 4
+	defaultCountedRanks = 8
 )
 
-// CountsPart is what a rank tells of its counts: all of them, or what has been added to those that the asker has.
+// CountsPart is a rank's report of its counts: all of them, or what was added to those that the
+// requester has.
 type CountsPart struct {
 	Born  upstream.Born
 	Epoch services.Epoch
-	// Number is that of the counts that the asker has now; Since is that of the counts that these are added
-	// to, 0 if they are all.
+	// Number is that of the counts that the requester has after this report. Since is the number of
+	// the counts that these are added to, 0 if they are complete.
 	Number, Since uint64
 	Counts        []uint64
 }
 
-// tally remembers the counts that an agent told last, so that the next answer holds what was added since.
-type tally struct {
+// countSender keeps the counts that an agent sent last, so that the next answer holds only the
+// difference.
+type countSender struct {
 	number uint64
 	last   services.RankCounts
 }
 
-// newTally returns a tally whose numbers differ from those of earlier starts of the agent.
-func newTally(now time.Time) tally {
-	return tally{number: uint64(now.UnixNano())}
+// newCountSender returns a countSender whose numbers differ from those of earlier starts of the
+// agent.
+func newCountSender(now time.Time) countSender {
+	return countSender{number: uint64(now.UnixNano())}
 }
 
-// tell returns what an asker that has the counts of a number has to be told.
-func (t *tally) tell(since uint64, now services.RankCounts) CountsPart {
+// delta returns what must be sent to a requester that has the counts numbered since.
+func (t *countSender) delta(since uint64, now services.RankCounts) CountsPart {
 	part := CountsPart{Born: now.Born, Epoch: now.Epoch, Counts: now.Counts}
 	if since != 0 && since == t.number {
 		if added, ok := difference(t.last, now); ok {
@@ -59,7 +64,8 @@
 	return part
 }
 
-// difference returns what was added between two counts, or false if the later ones do not go on from the earlier.
+// difference returns what was added between two counts, or false if the later ones do not continue
+// the earlier.
 func difference(before, after services.RankCounts) ([]uint64, bool) {
 	if before.Born != after.Born || before.Epoch != after.Epoch || len(before.Counts) != len(after.Counts) {
 		return nil, false
@@ -74,13 +80,14 @@
 	return added, true
 }
 
-// heldCounts is what a coordinator holds of a rank's counts.
+// heldCounts holds a coordinator's copy of a rank's counts.
 type heldCounts struct {
 	number uint64
 	services.RankCounts
 }
 
-// add takes a part in. A part that does not fit what is held is dropped, and all counts are asked for next.
+// add applies a report. A report that does not fit the held counts is dropped, and the next request
+// asks for all counts.
 func (h *heldCounts) add(p CountsPart) {
 	switch {
 	case len(p.Counts) == 0:
@@ -97,30 +104,32 @@
 	}
 }
 
-// countedRanks returns how many of a group's ranks are asked for counts, if so many are near: those, or the usual
-// number, as far as the counters allow, and a few in any case.
+// countedRanks returns how many of a group's ranks are asked for counts if near of them are in the
+// coordinator's data centre: those, or the default number, within the limit of counters, and the
+// minimum in any case.
 func countedRanks(e *catalog.Engine, ranks, near int) int {
 	most := ranks
 	if e != nil && e.Layers*e.Experts > 0 {
-		most = countsPerLook / (e.Layers * e.Experts)
+		most = countsPerRound / (e.Layers * e.Experts)
 	}
-	return min(ranks, max(fewestCounted, min(max(near, usualCounted), most)))
+	return min(ranks, max(minCountedRanks, min(max(near, defaultCountedRanks), most)))
 }
 
-// counted returns the engines whose ranks are asked for counts, this agent's own among them: those that answer,
-// of the same data centre first, because bytes between data centres are paid for.
-func (c *coordinator) counted(now time.Time) map[string]bool {
+// enginesToCount returns the engines whose ranks are asked for counts, this agent's own among them:
+// those that answer, and of the same data centre first, because bytes between data centres are paid
+// for.
+func (c *coordinator) enginesToCount(now time.Time) map[string]bool {
 	order := slices.Clone(c.agents)
-	places := make(map[string]int, len(order))
+	priorities := make(map[string]int, len(order))
 	for _, p := range order {
-		places[p.Name] = c.countPlace(now, p)
+		priorities[p.Name] = c.countPriority(now, p)
 	}
 	slices.SortStableFunc(order, func(a, b peer.Info) int {
-		return cmp.Or(cmp.Compare(places[a.Name], places[b.Name]), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(priorities[a.Name], priorities[b.Name]), cmp.Compare(a.Name, b.Name))
 	})
 	near := 1
 	for _, p := range order {
-		if places[p.Name] == 0 {
+		if priorities[p.Name] == 0 {
 			near++
 		}
 	}
@@ -131,11 +140,12 @@
 	return out
 }
 
-// countPlace returns the place of an agent in the order in which ranks are asked for counts; the lowest is first.
-func (c *coordinator) countPlace(now time.Time, p peer.Info) int {
+// countPriority returns the priority of an agent when ranks are chosen for counts; the lowest is
+// first.
+func (c *coordinator) countPriority(now time.Time, p peer.Info) int {
 	m := c.memberOf(p)
 	switch {
-	case m == nil || now.Sub(m.heard) > missingAfter:
+	case m == nil || now.Sub(m.lastContact) > missingAfter:
 		return 2
 	case p.DataCentre != c.a.opts.Self.DataCentre:
 		return 1
@@ -144,8 +154,8 @@
 	}
 }
 
-// dropCounts forgets the counts of ranks that are not asked for them: what they add until they are asked again
-// is not recent.
+// dropCounts discards the counts of ranks that are not asked for them: what they add until they are
+// asked again is not recent.
 func (c *coordinator) dropCounts(counted map[string]bool) {
 	for _, m := range c.members {
 		if !counted[m.info.Engine] {
--- a/services/rank/counts_test.go
+++ b/services/rank/counts_test.go
@@ -15,43 +15,43 @@
 	"fawnwinch.org/fawnwinch/services/peer"
 )
 
-// TestCounts follows an agent's answers to a coordinator that asks for what was added: whatever is lost or
-// starts anew, the coordinator holds the counts of the engine or none.
+// TestCounts checks an agent's answers to a coordinator that requests the difference of counts:
+// whatever is lost or restarted, the coordinator has the counts of the engine or none.
 func TestCounts(t *testing.T) {
 	counts := func(epoch services.Epoch, n ...uint64) services.RankCounts {
 		return services.RankCounts{Epoch: epoch, Counts: n}
 	}
 	cases := map[string]struct {
 		// then happens between the first answer, to counts of 5 and 300, and the second, to now.
-		then func(ta *tally, held *heldCounts)
+		then func(ta *countSender, held *heldCounts)
 		now  services.RankCounts
-		// sent is the second answer's numbers.
+		// sent is the numbers of the second answer.
 		sent []uint64
 	}{
 		"what was added": {now: counts(1, 6, 302), sent: []uint64{1, 2}},
 		"an answer was lost": {
-			then: func(ta *tally, held *heldCounts) { ta.tell(held.number, counts(1, 6, 301)) },
+			then: func(ta *countSender, held *heldCounts) { ta.delta(held.number, counts(1, 6, 301)) },
 			now:  counts(1, 6, 302), sent: []uint64{6, 302},
 		},
 		"the engine has started anew": {now: counts(1, 2, 400), sent: []uint64{2, 400}},
 		"the group has formed anew":   {now: counts(2, 6, 302), sent: []uint64{6, 302}},
 		"the agent has started anew": {
-			then: func(ta *tally, _ *heldCounts) { *ta = newTally(begin.Add(time.Second)) },
+			then: func(ta *countSender, _ *heldCounts) { *ta = newCountSender(begin.Add(time.Second)) },
 			now:  counts(1, 6, 302), sent: []uint64{6, 302},
 		},
 		"the coordinator has dropped its counts": {
-			then: func(_ *tally, held *heldCounts) { *held = heldCounts{} },
+			then: func(_ *countSender, held *heldCounts) { *held = heldCounts{} },
 			now:  counts(1, 6, 302), sent: []uint64{6, 302},
 		},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			ta, held := newTally(begin), heldCounts{}
-			held.add(ta.tell(held.number, counts(1, 5, 300)))
+			ta, held := newCountSender(begin), heldCounts{}
+			held.add(ta.delta(held.number, counts(1, 5, 300)))
 			if tc.then != nil {
 				tc.then(&ta, &held)
 			}
-			part := ta.tell(held.number, tc.now)
+			part := ta.delta(held.number, tc.now)
 			held.add(part)
 			if !reflect.DeepEqual(part.Counts, tc.sent) {
 				t.Errorf("sent %v, want %v", part.Counts, tc.sent)
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestCountsOutOfOrder checks that a part that does not fit is not added.
+// TestCountsOutOfOrder checks that a report that does not fit is not added.
 func TestCountsOutOfOrder(t *testing.T) {
 	held := heldCounts{number: 4, RankCounts: services.RankCounts{Counts: []uint64{7}}}
 	held.add(CountsPart{Since: 3, Number: 4, Counts: []uint64{1}})
@@ -75,25 +75,25 @@
 // TestCounted checks which ranks of a large group are asked for counts.
 func TestCounted(t *testing.T) {
 	large := &catalog.Engine{Layers: 8, Experts: 252}
-	if small := (&catalog.Engine{Layers: 4, Experts: 72}); countedRanks(small, 12, 12) != 12 || countedRanks(nil, 12, 12) != 12 || countedRanks(small, 12, 4) != usualCounted {
+	if small := (&catalog.Engine{Layers: 4, Experts: 72}); countedRanks(small, 12, 12) != 12 || countedRanks(nil, 12, 12) != 12 || countedRanks(small, 12, 4) != defaultCountedRanks {
 		t.Error("not all ranks of a small group are asked")
 	}
-	if n := countedRanks(&catalog.Engine{Layers: 58, Experts: 128}, 32, 32); n != fewestCounted {
-		t.Errorf("%d ranks are asked, want %d", n, fewestCounted)
+	if n := countedRanks(&catalog.Engine{Layers: 58, Experts: 128}, 32, 32); n != minCountedRanks {
+		t.Errorf("%d ranks are asked, want %d", n, minCountedRanks)
 	}
 	now := begin
 	c := &coordinator{a: &Agent{opts: Options{Self: peer.Info{Engine: "e0", DataCentre: "a"}}}}
 	c.engine = large
 	c.members = make([]*member, 63)
-	c.members[0] = &member{info: c.a.opts.Self, known: true, heard: now}
+	c.members[0] = &member{info: c.a.opts.Self, known: true, lastContact: now}
 	for i := 1; i < 63; i++ {
 		p := peer.Info{Name: fmt.Sprintf("agent-%02d", i), Engine: fmt.Sprintf("e%d", i), DataCentre: vm.DataCentre([]string{"a", "b", "c"}[i%3])}
 		c.agents = append(c.agents, p)
-		c.members[i] = &member{info: p, known: true, heard: now}
+		c.members[i] = &member{info: p, known: true, lastContact: now}
 	}
-	c.members[3].heard = now.Add(-time.Second)
-	got := c.counted(now)
-	if want := countsPerLook / (8 * 252); len(got) != want || !got["e0"] {
+	c.members[3].lastContact = now.Add(-time.Second)
+	got := c.enginesToCount(now)
+	if want := countsPerRound / (8 * 252); len(got) != want || !got["e0"] {
 		t.Errorf("%d ranks are asked, own among them: %t; want %d", len(got), got["e0"], want)
 	}
 	if got["e3"] || !got["e6"] || got["e1"] {
@@ -110,7 +110,8 @@
 	}
 }
 
-// TestSkips checks that agents of other groups are asked again after a while only: a service may have many.
+// TestSkips checks that agents of other groups are polled again only after a while: a service may
+// have many.
 func TestSkips(t *testing.T) {
 	c := &coordinator{foreign: map[string]time.Time{"other": begin}}
 	cases := map[string]struct {
--- a/services/rank/demand.go
+++ b/services/rank/demand.go
@@ -12,41 +12,44 @@
 )
 
 const (
-	// popularityHalfLife is the time in which past choices count half while demand does not shift.
+	// popularityHalfLife is the half-life of the weight of past choices while demand does not
+	// shift.
 	popularityHalfLife = 300 * time.Millisecond
-	// fewestChoices is the number of choices of a layer on which a plan may rest, for each expert.
-	fewestChoices = 4
-	// shiftPart is the part of the choices that must have gone to other experts, beyond what chance moves, for a
-	// shift of demand. Between two looks without a shift it is below a tenth on the users' days.
-	shiftPart = 0.2
-	// chanceSpread is how many times the expected difference of two samples of the same demand is put down to chance.
+	// minChoices is the number of choices of a layer, for each expert, that a plan requires.
+	minChoices = 4
+	// shiftFraction is the fraction of the choices that must have moved to other experts, beyond
+	// what chance moves, for a shift of demand. Between two rounds without a shift it is below a
+	// tenth on the users' days.
+	shiftFraction = 0.2
+	// chanceSpread is how many times the expected difference of two samples of the same demand is
+	// attributed to chance.
 	chanceSpread = 2.0
-	// usualShift is the time between shifts that is reckoned with until some were seen; those of the users' days
-	// come every 3.4 to 4.2 s.
-	usualShift = 4 * time.Second
-	// shiftKeep is the weight of the past in the mean time between shifts.
-	shiftKeep = 0.7
+	// defaultShiftInterval is the time between shifts that is assumed until some were observed;
+	// those of the users' days occur every 3.4 to 4.2 s.
+	defaultShiftInterval = 4 * time.Second
+	// shiftDecay is the weight of the past in the mean time between shifts.
+	shiftDecay = 0.7
 )
 
-// demand is what the requests of a group have chosen lately. It does no I/O and reads no clock.
+// demand holds the recent expert choices of a group's requests. It does no I/O and reads no clock.
 type demand struct {
 	layers, experts int
 	counts          []services.RankCounts
 	recent          placement.Popularity
 	at              time.Time
-	// shiftedAt is when demand was last seen to shift, or when counting began.
+	// shiftedAt is when demand last shifted, or when counting began.
 	shiftedAt time.Time
 	// between is the mean time between shifts.
 	between time.Duration
 }
 
 func newDemand(layers, experts int) *demand {
-	d := &demand{layers: layers, experts: experts, between: usualShift}
+	d := &demand{layers: layers, experts: experts, between: defaultShiftInterval}
 	d.recent = d.none()
 	return d
 }
 
-// none returns the popularity of experts that nobody has chosen.
+// none returns the popularity of experts without any choices.
 func (d *demand) none() placement.Popularity {
 	p := make(placement.Popularity, d.layers)
 	for l := range p {
@@ -55,7 +58,7 @@
 	return p
 }
 
-// count takes the choices since the last look in. What was counted before a shift is forgotten.
+// count adds the choices since the last round. Choices from before a shift are discarded.
 func (d *demand) count(now time.Time, counts []services.RankCounts) {
 	fresh := d.none()
 	for r := range counts {
@@ -71,7 +74,7 @@
 		d.noteShift(now)
 		d.recent = d.none()
 	default:
-		d.fade(now.Sub(d.at))
+		d.decay(now.Sub(d.at))
 	}
 	d.at = now
 	for l, layer := range fresh {
@@ -81,8 +84,8 @@
 	}
 }
 
-// add adds what one rank has counted since. A rank that has started anew counts from 0. What a rank counted
-// before it was asked is not recent.
+// add adds what one rank has counted since the last round. A rank that has restarted counts from 0.
+// What a rank counted before it was asked is not recent.
 func (d *demand) add(to placement.Popularity, before, after services.RankCounts) {
 	if len(after.Counts) != d.layers*d.experts || len(before.Counts) != len(after.Counts) {
 		return
@@ -96,8 +99,8 @@
 	}
 }
 
-// fade lets what was counted count less after some time.
-func (d *demand) fade(after time.Duration) {
+// decay reduces the weight of past choices after some time.
+func (d *demand) decay(after time.Duration) {
 	keep := math.Exp2(-after.Seconds() / popularityHalfLife.Seconds())
 	for _, layer := range d.recent {
 		for e := range layer {
@@ -106,23 +109,25 @@
 	}
 }
 
-// noteShift notes a shift. One that is seen in several looks is one.
+// noteShift records a shift. A shift that shows in several rounds is recorded once.
 func (d *demand) noteShift(now time.Time) {
-	if since := now.Sub(d.shiftedAt); since > lookEvery*shiftLooks {
-		d.between = time.Duration(shiftKeep*float64(d.between) + (1-shiftKeep)*float64(since))
+	if since := now.Sub(d.shiftedAt); since > pollInterval*shiftRounds {
+		d.between = time.Duration(shiftDecay*float64(d.between) + (1-shiftDecay)*float64(since))
 	}
 	d.shiftedAt = now
 }
 
-// shiftLooks is the number of looks in which one shift may be seen: in the first, choices from before are counted too.
-const shiftLooks = 4
+// shiftRounds is the number of rounds in which one shift may show: the first also counts choices
+// from before it.
+const shiftRounds = 4
 
-// lasts forecasts how long demand stays as it is.
-func (d *demand) lasts(now time.Time) time.Duration {
+// expectedDuration forecasts how long demand stays as it is.
+func (d *demand) expectedDuration(now time.Time) time.Duration {
 	return max(d.between, now.Sub(d.shiftedAt))
 }
 
-// shifts reports whether new choices differ from the recent ones by more than chance explains, on average over the layers.
+// shifts reports whether new choices differ from the recent ones by more than chance explains, on
+// average over the layers.
 func (d *demand) shifts(fresh placement.Popularity) bool {
 	if !sufficient(d.recent) || !sufficient(fresh) {
 		return false
@@ -132,11 +137,11 @@
 		m, c := shiftOf(d.recent[l], fresh[l])
 		moved, chance = moved+m, chance+c
 	}
-	return moved > shiftPart*float64(d.layers)+chanceSpread*chance
+	return moved > shiftFraction*float64(d.layers)+chanceSpread*chance
 }
 
-// shiftOf returns the part of the choices that two samples differ in, and what two samples of one demand
-// are expected to.
+// shiftOf returns the fraction of the choices that differs between two samples, and the fraction
+// that is expected to differ between two samples of the same demand.
 func shiftOf(a, b []float64) (moved, chance float64) {
 	sumA, sumB := sum(a), sum(b)
 	for e := range a {
@@ -147,23 +152,23 @@
 	return moved, chance
 }
 
-// halfMeanNormal is half of the mean size of a normal number with spread 1.
+// halfMeanNormal is half of the mean absolute value of a normal variable with standard deviation 1.
 const halfMeanNormal = 0.4
 
-// enough reports whether enough was counted to plan by.
+// enough reports whether the recent counts suffice for a plan.
 func (d *demand) enough() bool { return sufficient(d.recent) }
 
-// sufficient reports whether enough was counted in every layer to tell demand from chance.
+// sufficient reports whether enough was counted in every layer to distinguish demand from chance.
 func sufficient(p placement.Popularity) bool {
 	for _, layer := range p {
-		if sum(layer) < fewestChoices*float64(len(layer)) {
+		if sum(layer) < minChoices*float64(len(layer)) {
 			return false
 		}
 	}
 	return true
 }
 
-// sum returns the choices of a layer.
+// sum returns the number of choices of a layer.
 func sum(layer []float64) float64 {
 	var s float64
 	for _, n := range layer {
@@ -172,7 +177,8 @@
 	return s
 }
 
-// smooth returns the recent demand with a little for every expert, so that none counts as free.
+// smooth returns the recent demand with a small amount added for every expert, so that none has
+// zero cost.
 func (d *demand) smooth() placement.Popularity {
 	out := make(placement.Popularity, len(d.recent))
 	for l, layer := range d.recent {
--- a/services/rank/demand_test.go
+++ b/services/rank/demand_test.go
@@ -12,15 +12,16 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// sampled returns the counts of four ranks after looks in which choices were drawn by chance; weight tells how
-// popular an expert is in a look, and each is how many choices a rank counts in a layer and look.
-func sampled(seed uint64, looks, each int, weight func(look, expert int) int) []services.RankCounts {
+// sampled returns the counts of four ranks after rounds of randomly drawn choices; weight is the
+// popularity of an expert in a round, and each the number of choices that a rank counts in a layer
+// and round.
+func sampled(seed uint64, rounds, each int, weight func(look, expert int) int) []services.RankCounts {
 	r := rand.New(rand.NewPCG(seed, 7))
 	out := make([]services.RankCounts, 4)
 	for k := range out {
 		out[k].Counts = make([]uint64, figures.Layers*figures.Experts)
 	}
-	for look := range looks {
+	for look := range rounds {
 		var urn []int
 		for e := range figures.Experts {
 			for range weight(look, e) {
@@ -38,7 +39,8 @@
 	return out
 }
 
-// TestShift checks that a shift of demand is told from chance, and that what was liked before it is forgotten.
+// TestShift checks that a shift of demand is distinguished from chance, and that the demand before
+// it is discarded.
 func TestShift(t *testing.T) {
 	const looks = 20
 	hot := func(at int, before, after int) func(look, expert int) int {
@@ -66,10 +68,10 @@
 			d := newDemand(figures.Layers, figures.Experts)
 			now := begin
 			for look := 1; look <= looks; look++ {
-				now = now.Add(lookEvery)
+				now = now.Add(pollInterval)
 				d.count(now, sampled(3, look, c.each, c.weight))
 			}
-			if shifted := d.shiftedAt.After(begin.Add(lookEvery)); shifted != c.shifts {
+			if shifted := d.shiftedAt.After(begin.Add(pollInterval)); shifted != c.shifts {
 				t.Fatalf("shift seen: %t, want %t", shifted, c.shifts)
 			}
 			if c.shifts && d.recent[0][5] < 3*d.recent[0][0] {
@@ -79,7 +81,7 @@
 	}
 }
 
-// TestOutdated checks when a change that is being loaded is given up.
+// TestOutdated checks when a change that is being loaded is abandoned.
 func TestOutdated(t *testing.T) {
 	const moment = 80 * time.Millisecond
 	cases := map[string]struct {
@@ -96,7 +98,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			p := newPlanner(figures, goal, 1, firstMap(4))
-			p.load, p.most, p.plannedAt = c.load, 1, begin
+			p.load, p.maxLoads, p.plannedAt = c.load, 1, begin
 			p.demand.shiftedAt = begin.Add(c.shifted)
 			if got := p.outdated(begin.Add(c.at), moment); got != c.want {
 				t.Errorf("outdated: %t, want %t", got, c.want)
@@ -105,7 +107,8 @@
 	}
 }
 
-// TestLoads checks that the size of a change follows from the time of a load, told or observed.
+// TestLoads checks that the size of a change follows from the time of a load, configured or
+// observed.
 func TestLoads(t *testing.T) {
 	cases := map[string]struct {
 		load           time.Duration
@@ -122,12 +125,12 @@
 			told := *figures
 			told.LoadTime = c.load
 			p := newPlanner(&told, goal, 1, firstMap(4))
-			if p.loads(1) != c.rank || p.loads(layerPart) != c.oneLayer {
-				t.Errorf("%d experts a rank, %d of a layer; want %d, %d", p.loads(1), p.loads(layerPart), c.rank, c.oneLayer)
+			if p.loads(1) != c.rank || p.loads(layerFraction) != c.oneLayer {
+				t.Errorf("%d experts a rank, %d of a layer; want %d, %d", p.loads(1), p.loads(layerFraction), c.rank, c.oneLayer)
 			}
 			q := newPlanner(figures, goal, 1, &expertmap.Map{})
 			for range 20 {
-				q.most = 2
+				q.maxLoads = 2
 				q.loaded(2 * c.load)
 			}
 			if q.loads(1) != c.rank {
@@ -137,13 +140,14 @@
 	}
 }
 
-// TestLeastGain checks that a change must save more where loads take longer, and less where demand stays longer.
+// TestLeastGain checks that a change must save more where loads take longer, and less where demand
+// stays longer.
 func TestLeastGain(t *testing.T) {
 	gain := func(load, lasts time.Duration) float64 {
 		e := *figures
 		e.LoadTime = load
 		p := newPlanner(&e, goal, 1, firstMap(4))
-		return p.leastGain(p.perSkew(8), lasts, p.loads(1))
+		return p.minGain(p.perSkew(8), lasts, p.loads(1))
 	}
 	price := func(mb float64, layers int, lasts time.Duration) float64 {
 		e := *figures
--- a/services/rank/dispatch.go
+++ b/services/rank/dispatch.go
@@ -14,15 +14,15 @@
 	"fawnwinch.org/fawnwinch/services/peer"
 )
 
-// delivery is an order on its way to one rank.
+// delivery is an order that is to be sent to one rank.
 type delivery struct {
 	send mapswitch.Send
 	to   peer.Info
-	// first is the order as the agent gets it first.
+	// first is the order in the form in which the agent receives it first.
 	first Order
 }
 
-// batch tells which orders go together: the same order to ranks of one part.
+// batch identifies orders that are sent together: the same order to ranks of one part.
 type batch struct {
 	part    int
 	kind    services.RankOrderKind
@@ -30,12 +30,13 @@
 	step    group.Step
 }
 
-// dispatch sends orders: the same to several ranks of a part through a relay, others one by one.
+// dispatch sends orders: identical ones to several ranks of a part through a relay, others one by
+// one.
 func (d *driver) dispatch(ctx context.Context, sends []mapswitch.Send, answers chan<- answered) {
 	batches := map[batch][]delivery{}
 	for _, s := range sends {
 		m := d.c.members[s.Rank]
-		dl := delivery{send: s, to: m.info, first: d.inChanges(m.start, s.Order)}
+		dl := delivery{send: s, to: m.info, first: d.asChange(m.start, s.Order)}
 		i, ok := d.c.partOf[m.info.Name]
 		if !ok || s.Direct || s.Order.Kind == services.RankAnnounce {
 			d.each(ctx, []delivery{dl}, answers)
@@ -62,11 +63,12 @@
 	}
 }
 
-// forward has a relay give orders to agents of its part. If it does not answer each gets its order from here, as does an
-// agent that cannot be reached from there or lacks the map that the order goes on from.
+// forward sends orders to the agents of a part through a relay. If the relay does not answer, the
+// coordinator sends each order itself, as it does for an agent that the relay cannot reach or that
+// lacks the base map of the order.
 func (d *driver) forward(ctx context.Context, relay peer.Info, dls []delivery, answers chan<- answered) {
 	kind := dls[0].send.Order.Kind
-	cctx, cancel := context.WithTimeout(ctx, orderTimeOf(kind)+peerTime)
+	cctx, cancel := context.WithTimeout(ctx, orderTimeOf(kind)+peerTimeout)
 	defer cancel()
 	f := ForwardOrder{Order: dls[0].first, Members: make([]ForwardMember, len(dls))}
 	for i, dl := range dls {
@@ -82,10 +84,10 @@
 	for i, dl := range dls {
 		switch {
 		case r.Silent[i]:
-			d.c.sending.Go(func() { answers <- answered{dl.send, d.orderDirectly(ctx, dl.to, dl.send.Order, peerTime)} })
+			d.c.sending.Go(func() { answers <- answered{dl.send, d.orderDirectly(ctx, dl.to, dl.send.Order, peerTimeout)} })
 		case r.Replies[i].NoBase:
-			whole := Order{Lead: dl.first.Lead, Start: dl.first.Start, Order: dl.send.Order}
-			d.c.sending.Go(func() { answers <- answered{dl.send, d.send(ctx, dl.to, dl.send, whole)} })
+			complete := Order{Lead: dl.first.Lead, Start: dl.first.Start, Order: dl.send.Order}
+			d.c.sending.Go(func() { answers <- answered{dl.send, d.send(ctx, dl.to, dl.send, complete)} })
 		default:
 			answers <- answered{dl.send, r.Replies[i].Answer}
 		}
--- a/services/rank/drift_test.go
+++ b/services/rank/drift_test.go
@@ -18,30 +18,34 @@
 	"fawnwinch.org/fawnwinch/services/placement"
 )
 
-// The group of the drift model: streams come by chance, wait for room, are written by passes whose length is that of
-// balance.Pass, and are late when they begin late or see a long pass. Demand shifts at intervals.
+// The group of the drift model: streams arrive at random, wait for capacity, are written by passes
+// whose length is that of balance.Pass, and are late when they begin late or see a long pass.
+// Demand shifts at intervals.
 const (
 	driftLength = 40 * time.Second
-	// driftShare is the part of the experts whose popularity a shift deals anew.
-	driftShare = 0.65
+	// driftFraction is the fraction of the experts whose popularity a shift redistributes.
+	driftFraction = 0.65
 	// driftPicks is the number of choices of a layer for each stream and pass.
 	driftPicks = 40
-	// driftZipf shapes the popularity of the experts: the first of 96 gets about a fifth of the choices.
+	// driftZipf shapes the popularity of the experts: the first of 96 gets about a fifth of the
+	// choices.
 	driftZipf = 1.15
-	// driftEvents is the number of passes that a stream lives.
+	// driftEvents is the number of passes of a stream.
 	driftEvents = 24
-	// driftUse is the part of the streams that come, against those that a group takes with busyWriters streams a rank
-	// and an even map.
+	// driftUse is the rate of arriving streams as a fraction of what a group handles with
+	// busyWriters streams a rank and an even map.
 	driftUse    = 0.7
 	busyWriters = 10.0
-	// firstGoal is the time to the first event that callers pay full for, driftPatience that after which they leave.
-	firstGoal     = 500 * time.Millisecond
-	driftPatience = 1200 * time.Millisecond
-	// lateWorth is what a late stream is worth against one in time.
+	// firstGoal is the time to the first event up to which callers pay in full, and driftTimeout
+	// the time after which they leave.
+	firstGoal    = 500 * time.Millisecond
+	driftTimeout = 1200 * time.Millisecond
+	// lateWorth is the worth of a late stream relative to one in time.
 	lateWorth = 0.5
-	// lookBaseline and lookSlow are the intervals of the strategies that the planner is compared with.
-	lookBaseline = 200 * time.Millisecond
-	lookSlow     = 2 * time.Second
+	// baselineInterval and slowInterval are the intervals of the strategies that the planner is
+	// compared with.
+	baselineInterval = 200 * time.Millisecond
+	slowInterval     = 2 * time.Second
 )
 
 // driftCase is an engine and how often demand shifts.
@@ -63,7 +67,7 @@
 	}
 }
 
-// driftCases returns the cases of the benchmark; the first is the first that users ran.
+// driftCases returns the cases of the benchmark; the first is the users' first deployment.
 func driftCases() []driftCase {
 	const usual, long = 4 * time.Second, 12 * time.Second
 	ms := time.Millisecond
@@ -83,7 +87,7 @@
 	}
 }
 
-// situation is what a strategy goes by.
+// situation is the input of a strategy.
 type situation struct {
 	now     time.Time
 	current *expertmap.Map
@@ -91,10 +95,11 @@
 	writers float64
 }
 
-// strategy decides which map a group should have next; nil for none. It also tells the skew that it believes in.
+// strategy decides which map a group should have next; nil for none. It also returns its estimate
+// of the skew.
 type strategy func(s situation) (next *expertmap.Map, skew float64)
 
-// every looks at the counts in an interval; past choices count as much as keep says.
+// every plans from the counts at an interval; past choices are weighted by keep.
 func every(e *catalog.Engine, interval time.Duration, keep float64, decide func(current *expertmap.Map, p placement.Popularity) *expertmap.Map) strategy {
 	var at time.Time
 	var before []services.RankCounts
@@ -113,7 +118,7 @@
 	}
 }
 
-// shares turns counts since an earlier look into popularity. Past is what they are added to, times keep.
+// shares converts the counts since an earlier round into popularity, added to past times keep.
 func shares(e *catalog.Engine, past placement.Popularity, keep float64, before, after []services.RankCounts) placement.Popularity {
 	out := make(placement.Popularity, e.Layers)
 	for l := range out {
@@ -146,7 +151,7 @@
 	}
 }
 
-// strategies returns the ways that are compared.
+// strategies returns the strategies that are compared.
 func strategies(c driftCase) map[string]func() strategy {
 	e := c.engine()
 	return map[string]func() strategy{
@@ -154,21 +159,21 @@
 			return func(situation) (*expertmap.Map, float64) { return nil, 0 }
 		},
 		"full recompute": func() strategy {
-			return every(e, lookSlow, 0, func(current *expertmap.Map, p placement.Popularity) *expertmap.Map {
+			return every(e, slowInterval, 0, func(current *expertmap.Map, p placement.Popularity) *expertmap.Map {
 				return placement.Full(current, p, evenSpeed(c.ranks))
 			})
 		},
 		"priced, half-life 20s": func() strategy {
-			return every(e, lookSlow, math.Exp2(-lookSlow.Seconds()/20), decideWith(c.ranks, placement.SkewPolicy(math.MaxInt32)))
+			return every(e, slowInterval, math.Exp2(-slowInterval.Seconds()/20), decideWith(c.ranks, placement.SkewPolicy(math.MaxInt32)))
 		},
 		"each 200ms, unsmoothed": func() strategy {
-			return every(e, lookBaseline, 0, decideWith(c.ranks, placement.Policy{Price: 0.0015, MaxMoves: math.MaxInt32, MaxFresh: 2, Enough: 1.02}))
+			return every(e, baselineInterval, 0, decideWith(c.ranks, placement.Policy{Price: 0.0015, MaxMoves: math.MaxInt32, MaxFresh: 2, Enough: 1.02}))
 		},
 		"planner": func() strategy { return plannerWay(c) },
 	}
 }
 
-// plannerWay is the planner as a coordinator uses it, but for changes that are given up.
+// plannerWay is the planner as a coordinator uses it, except for abandoned changes.
 func plannerWay(c driftCase) strategy {
 	var p *planner
 	var at time.Time
@@ -176,7 +181,7 @@
 		if p == nil {
 			p = newPlanner(c.engine(), goal, 1, s.current)
 		}
-		if s.now.Sub(at) < lookEvery {
+		if s.now.Sub(at) < pollInterval {
 			return nil, p.skew
 		}
 		at = s.now
@@ -186,18 +191,18 @@
 		if err != nil {
 			panic(err) // the model has made a map that cannot be read
 		}
-		p.pauseTo = time.Time{}
+		p.pausedUntil = time.Time{}
 		return next, p.skew
 	}
 }
 
-// outcome is what a strategy has come to.
+// outcome is the result of a strategy.
 type outcome struct {
-	// skew is the mean over time of the heaviest rank against the mean.
+	// skew is the time average of the load of the heaviest rank relative to the mean.
 	skew float64
-	// worth is the part of what all streams would be worth in time.
+	// worth is the fraction of what all streams would be worth in time.
 	worth float64
-	// gigabytes is the weight of the experts that were loaded.
+	// gigabytes is the size of the experts that were loaded.
 	gigabytes float64
 }
 
@@ -210,22 +215,22 @@
 
 // drifting is a group whose demand shifts.
 type drifting struct {
-	c          driftCase
-	e          *catalog.Engine
-	rand       *rand.Rand
-	popularity [][]float64
-	current    *expertmap.Map
-	counts     []services.RankCounts
-	waiting    []time.Time
-	running    []streamRun
-	nextCome   time.Time
-	come       float64
-	out        outcome
-	streams    float64
+	c           driftCase
+	e           *catalog.Engine
+	rand        *rand.Rand
+	popularity  [][]float64
+	current     *expertmap.Map
+	counts      []services.RankCounts
+	waiting     []time.Time
+	running     []streamRun
+	nextArrival time.Time
+	arrivalRate float64
+	out         outcome
+	streams     float64
 }
 
 func newDrifting(seed uint64, c driftCase) *drifting {
-	d := &drifting{c: c, e: c.engine(), rand: rand.New(rand.NewPCG(seed, 3)), nextCome: begin}
+	d := &drifting{c: c, e: c.engine(), rand: rand.New(rand.NewPCG(seed, 3)), nextArrival: begin}
 	d.popularity = make([][]float64, d.e.Layers)
 	for l := range d.popularity {
 		d.popularity[l] = make([]float64, d.e.Experts)
@@ -242,17 +247,17 @@
 		d.counts[i].Counts = make([]uint64, d.e.Layers*d.e.Experts)
 	}
 	even := balance.Pass(d.e, balance.PassLoad{Mean: busyWriters, Max: busyWriters, Context: d.e.UsualPrompt, Reading: d.e.UsualPrompt / 2, Skew: 1})
-	d.come = driftUse * busyWriters * float64(c.ranks) / driftEvents / even.Seconds()
+	d.arrivalRate = driftUse * busyWriters * float64(c.ranks) / driftEvents / even.Seconds()
 	return d
 }
 
-// admit lets streams in up to the bounds that routers would keep to. It returns how many came in.
+// admit admits streams up to the bounds that routers would keep to, and returns their number.
 func (d *drifting) admit(now time.Time, skew float64) int {
-	for ; d.nextCome.Before(now); d.nextCome = d.nextCome.Add(time.Duration(d.rand.ExpFloat64() / d.come * float64(time.Second))) {
-		d.waiting = append(d.waiting, d.nextCome)
+	for ; d.nextArrival.Before(now); d.nextArrival = d.nextArrival.Add(time.Duration(d.rand.ExpFloat64() / d.arrivalRate * float64(time.Second))) {
+		d.waiting = append(d.waiting, d.nextArrival)
 		d.streams++
 	}
-	d.waiting = slices.DeleteFunc(d.waiting, func(t time.Time) bool { return now.Sub(t) > driftPatience })
+	d.waiting = slices.DeleteFunc(d.waiting, func(t time.Time) bool { return now.Sub(t) > driftTimeout })
 	most := min(balance.GroupBounds(d.e, balance.GroupLoad{Skew: skew, Pace: 1}, goal).Mean, d.e.Slots) * d.c.ranks
 	n := max(0, min(len(d.waiting), most-len(d.running)))
 	for _, t := range d.waiting[:n] {
@@ -262,7 +267,7 @@
 	return n
 }
 
-// pass plays a pass that begins at now and returns its end.
+// pass simulates a pass that begins at now and returns its end.
 func (d *drifting) pass(now time.Time, fresh int, copying bool) time.Time {
 	skew := d.skew()
 	mean := float64(len(d.running)) / float64(d.c.ranks)
@@ -293,7 +298,7 @@
 	return end
 }
 
-// drift plays a group whose demand shifts.
+// drift simulates a group whose demand shifts.
 func drift(seed uint64, c driftCase, s strategy) outcome {
 	d := newDrifting(seed, c)
 	var next *expertmap.Map
@@ -321,21 +326,21 @@
 			ready = now.Add(time.Duration(most) * c.load)
 		}
 	}
-	// Streams that have not ended count as the others.
+	// Streams that have not ended are assumed to have the same mean worth as the others.
 	d.out.worth /= max(d.streams-float64(len(d.running)), 1)
 	return d.out
 }
 
-// redeal deals the popularity of a part of the experts anew.
+// redeal redistributes the popularity of a fraction of the experts.
 func redeal(r *rand.Rand, layer []float64) {
-	perm := r.Perm(len(layer))[:int(driftShare*float64(len(layer)))]
+	perm := r.Perm(len(layer))[:int(driftFraction*float64(len(layer)))]
 	for i := len(perm) - 1; i > 0; i-- {
 		j := r.IntN(i + 1)
 		layer[perm[i]], layer[perm[j]] = layer[perm[j]], layer[perm[i]]
 	}
 }
 
-// skew returns the load of the heaviest rank against the mean, on average over the layers.
+// skew returns the load of the heaviest rank relative to the mean, on average over the layers.
 func (d *drifting) skew() float64 {
 	skew, err := placement.Skew(d.current, d.popularity, evenSpeed(d.c.ranks))
 	if err != nil {
@@ -344,7 +349,7 @@
 	return skew
 }
 
-// choose adds the choices of a pass with so many streams a rank.
+// choose adds the choices of a pass with the given number of streams a rank.
 func (d *drifting) choose(writers float64) {
 	out := make([]services.RankCounts, len(d.counts))
 	for k := range d.counts {
@@ -353,7 +358,7 @@
 			total := sum(layer)
 			for e, p := range layer {
 				mean := driftPicks * writers * p / total
-				// A normal number with the spread of a count.
+				// A normal variable with the standard deviation of a count.
 				n := mean + math.Sqrt(mean)*d.rand.NormFloat64()
 				out[k].Counts[l*d.e.Experts+e] += uint64(max(math.Round(n), 0))
 			}
@@ -362,7 +367,8 @@
 	d.counts = out
 }
 
-// loadsOf returns the experts that a new map makes ranks load, in all and at the rank with the most.
+// loadsOf returns the number of experts that a new map makes ranks load, in total and at the rank
+// with the most.
 func loadsOf(old, fresh *expertmap.Map) (all, most int) {
 	for r := range fresh.Layers[0].Slots {
 		n := fresh.Loads(old, r)
@@ -382,11 +388,12 @@
 	return sum
 }
 
-// driftNoise is what two ways may differ by on the seeds of the test although neither is better.
+// driftNoise is the difference of two equivalent strategies that the seeds of the test may show.
 const driftNoise = 0.01
 
-// TestDrift checks on small groups that the planner is worth at least what the other ways are, also where experts take
-// long to load or demand shifts often, and that it moves fewer experts than looks without a memory.
+// TestDrift checks on small groups that the planner is worth at least as much as the other
+// strategies, also where experts take long to load or demand shifts often, and that it moves fewer
+// experts than unsmoothed planning.
 func TestDrift(t *testing.T) {
 	const seeds = 2
 	for _, c := range driftCases() {
--- a/services/rank/driver.go
+++ b/services/rank/driver.go
@@ -17,22 +17,23 @@
 	"fawnwinch.org/fawnwinch/services/peer"
 )
 
-// driver carries out a change of map: it sends what the machine wants sent and hands the answers back.
+// driver carries out a change of map: it sends the orders that the machine requests and passes the
+// answers back to it.
 type driver struct {
 	c *coordinator
-	// delta is how the map that is being prepared differs from the one in use; nil if it is sent whole. Deal describes the
-	// one in use if it is the one that engines start with.
+	// delta is the difference of the map that is being prepared from the one in use; nil if the
+	// full map is sent. deal describes the map in use if it is the one that engines start with.
 	delta *expertmap.Change
 	deal  *expertmap.Deal
 }
 
 const (
-	// driveTick is the time between two looks at the ranks during a change.
+	// driveTick is the time between two polls of the ranks during a change.
 	driveTick = 80 * time.Millisecond
-	// holdLook is the time between two looks while the group is held. Nothing is told by them that the answers to orders
-	// do not, and they hold up the orders.
-	holdLook = 300 * time.Millisecond
-	// resendPause is the pause before an order that had no answer is sent again.
+	// heldPollInterval is the time between two polls while the group is held. They add nothing to
+	// the answers to orders, and they delay the orders.
+	heldPollInterval = 300 * time.Millisecond
+	// resendPause is the pause before an order without an answer is sent again.
 	resendPause = 5 * time.Millisecond
 )
 
@@ -41,18 +42,19 @@
 	answer services.RankAnswer
 }
 
-// settle takes back what an earlier coordinator has left behind. It returns false if there was nothing.
-func (d *driver) settle(ctx context.Context, status []services.RankStatus) bool {
-	return d.settleBy(ctx, mapswitch.Settle(clock.Now(), d.c.fence+1, d.self(), status), -1)
+// reconcile undoes what an earlier coordinator has left unfinished. It returns false if there was
+// nothing.
+func (d *driver) reconcile(ctx context.Context, status []services.RankStatus) bool {
+	return d.reconcileBy(ctx, mapswitch.Settle(clock.Now(), d.c.fence+1, d.self(), status), -1)
 }
 
-// settleWithout is settle for a group in which one rank does not answer. It reports whether there was something
-// that can be taken back without that rank.
-func (d *driver) settleWithout(ctx context.Context, silent group.Rank, status []services.RankStatus) bool {
-	return d.settleBy(ctx, mapswitch.SettleWithout(clock.Now(), d.c.fence+1, d.self(), silent, status), int(silent))
+// reconcileWithout is reconcile for a group in which one rank does not answer. It reports whether
+// there was something that can be undone without that rank.
+func (d *driver) reconcileWithout(ctx context.Context, silent group.Rank, status []services.RankStatus) bool {
+	return d.reconcileBy(ctx, mapswitch.SettleWithout(clock.Now(), d.c.fence+1, d.self(), silent, status), int(silent))
 }
 
-func (d *driver) settleBy(ctx context.Context, m *mapswitch.Machine, silent int) bool {
+func (d *driver) reconcileBy(ctx context.Context, m *mapswitch.Machine, silent int) bool {
 	if m == nil {
 		return false
 	}
@@ -67,7 +69,7 @@
 func (d *driver) change(ctx context.Context, status []services.RankStatus, next *expertmap.Map) {
 	began := clock.Now()
 	m := mapswitch.Start(began, d.c.fence+1, d.self(), status, next.Version, next.Layers)
-	d.goOnFrom(d.c.planner.current, next)
+	d.setBase(d.c.planner.current, next)
 	stage := d.drive(ctx, m)
 	d.c.logger.Info().Uint64("version", uint64(next.Version)).Uint64("fence", uint64(m.Fence)).Uint64("epoch", uint64(status[0].Epoch)).
 		Str("stage", string(stage)).Float64("skew", d.c.planner.skew).Int("moves", d.c.planner.moves).
@@ -78,13 +80,14 @@
 	}
 	d.c.planner.ended(next, stage == mapswitch.StageDone)
 	if stage == mapswitch.StageAbandoned {
-		d.c.planner.gaveUp()
+		d.c.planner.abandoned()
 	}
 }
 
-// goOnFrom has a map sent as what differs from the one in use. No agent has been sent the map that engines start with, but
-// all can tell it: whole, the first map of 129 ranks takes half a second on the way to its agents.
-func (d *driver) goOnFrom(current, next *expertmap.Map) {
+// setBase prepares a map to be sent as its difference from the one in use. No agent was sent the
+// map that engines start with, but all can derive it: sent in full, the first map of 129 ranks
+// takes half a second on the way to its agents.
+func (d *driver) setBase(current, next *expertmap.Map) {
 	d.delta, d.deal = nil, nil
 	change, ok := next.ChangeFrom(current)
 	if !ok {
@@ -100,7 +103,7 @@
 	d.delta = &change
 }
 
-// dealOf describes the map that engines start with, of the same size as another.
+// dealOf describes the map that engines start with, of the same size as another map.
 func dealOf(m *expertmap.Map, e *catalog.Engine) expertmap.Deal {
 	deal := expertmap.Deal{Layers: len(m.Layers)}
 	if deal.Layers > 0 {
@@ -112,8 +115,9 @@
 	return deal
 }
 
-// inChanges returns an order as an agent gets it first: a map as what differs from the one in use.
-func (d *driver) inChanges(start Start, o services.RankOrder) Order {
+// asChange returns an order in the form in which an agent receives it first: a map as its
+// difference from the one in use.
+func (d *driver) asChange(start Start, o services.RankOrder) Order {
 	out := Order{Lead: d.c.lead(), Start: start, Order: o}
 	if o.Kind != services.RankPrepare || d.delta == nil {
 		return out
@@ -151,7 +155,7 @@
 		case a := <-answers:
 			m.Answer(clock.Now(), a.send, a.answer)
 		case <-tick.C:
-			if now := clock.Now(); !m.Holding() || now.Sub(d.c.lookedAt) > holdLook {
+			if now := clock.Now(); !m.Holding() || now.Sub(d.c.roundBeganAt) > heldPollInterval {
 				d.observe(ctx, m)
 			}
 			m.Tick(clock.Now())
@@ -165,11 +169,11 @@
 	return m.Stage()
 }
 
-// observe asks all ranks and tells the machine. Routers go on being told.
+// observe polls all ranks and passes their statuses to the machine. Reports to routers continue.
 func (d *driver) observe(ctx context.Context, m *mapswitch.Machine) {
 	asked := clock.Now()
 	loading := m.Loading()
-	d.c.look(ctx, loading)
+	d.c.poll(ctx, loading)
 	now := clock.Now()
 	if loading {
 		d.c.planner.watch(now, d.c.counts())
@@ -178,25 +182,26 @@
 		}
 	}
 	for r, mb := range d.c.members {
-		if mb.known && mb.heard.After(asked) {
+		if mb.known && mb.lastContact.After(asked) {
 			m.Observe(now, mb.sent, group.Rank(r), mb.status)
 		}
 	}
-	d.c.tellRouters(ctx, now)
+	d.c.reportToRouters(ctx, now)
 }
 
-// send gives an order to a rank: by its agent, or directly if the agent does not answer. First is the order as
-// the agent gets it first; if that goes on from a map that it does not have, it gets the whole order.
+// send sends an order to a rank: through its agent, or directly if the agent does not answer. first
+// is the order as the agent receives it first; if the agent lacks its base map, it gets the
+// complete order.
 func (d *driver) send(ctx context.Context, to peer.Info, s mapswitch.Send, first Order) services.RankAnswer {
 	if s.Direct {
 		return d.sendDirectly(ctx, to, s.Order)
 	}
 	if to.Name == d.c.a.opts.Self.Name {
-		give := d.c.a.order
+		sendOwn := d.c.a.order
 		if s.Begin {
-			give = d.c.a.giveOrder
+			sendOwn = d.c.a.sendOrder
 		}
-		answer := give(s.Order)
+		answer := sendOwn(s.Order)
 		if answer == services.RankUnknown {
 			sleep.For(ctx, resendPause)
 		}
@@ -212,19 +217,20 @@
 	if s.Order.Kind == services.RankAnnounce {
 		return services.RankUnknown // no engine knows it
 	}
-	return d.orderDirectly(ctx, to, s.Order, peerTime)
+	return d.orderDirectly(ctx, to, s.Order, peerTimeout)
 }
 
 const (
-	// directTime bounds the first try of an order to the engine on another VM: two ways between data centres and what the
-	// engine needs. directTries bounds how often it is given without an answer.
-	directTime  = 20 * time.Millisecond
-	directTries = 4
+	// directTimeout bounds the first attempt of an order to the engine on another VM: a round trip
+	// between data centres and the engine's processing time. directTries is the maximum number of
+	// attempts without an answer.
+	directTimeout = 20 * time.Millisecond
+	directTries   = 4
 )
 
-// sendDirectly gives an order to a rank's engine, and again if there is no answer.
+// sendDirectly sends an order to a rank's engine, with retries if there is no answer.
 func (d *driver) sendDirectly(ctx context.Context, to peer.Info, o services.RankOrder) services.RankAnswer {
-	return giveAgain(directTime, directTries, func(limit time.Duration) services.RankAnswer { return d.orderDirectly(ctx, to, o, limit) })
+	return sendWithRetry(directTimeout, directTries, func(limit time.Duration) services.RankAnswer { return d.orderDirectly(ctx, to, o, limit) })
 }
 
 func (d *driver) orderDirectly(ctx context.Context, to peer.Info, o services.RankOrder, limit time.Duration) services.RankAnswer {
--- a/services/rank/elect.go
+++ b/services/rank/elect.go
@@ -20,31 +20,32 @@
 )
 
 const (
-	// electTick is the time between two looks at whether there is a coordinator.
-	electTick = 50 * time.Millisecond
-	// unknownAfter is how long an agent that has started waits to be asked before it registers: one that was registered
-	// before is known, and each registration is paid for.
-	unknownAfter = 1500 * time.Millisecond
-	// askedFirst is the number of other agents that are asked whether somebody leads, before a claim.
-	askedFirst = 3
+	// electInterval is the time between two checks whether there is a coordinator.
+	electInterval = 50 * time.Millisecond
+	// registerAfter is how long an agent that has started waits for contact before it registers:
+	// one that was registered before is known already, and each registration is paid for.
+	registerAfter = 1500 * time.Millisecond
+	// probedAgents is the number of other agents that are asked for a coordinator before a claim.
+	probedAgents = 3
 )
 
-// LeadAsk asks an agent whether somebody leads its group.
+// LeadAsk asks an agent whether its group has a coordinator.
 type LeadAsk struct{ Group group.ID }
 
 // LeadReply is the answer.
 type LeadReply struct {
-	// Foreign says that the rank belongs to another group; the rest is empty.
+	// Foreign reports whether the rank belongs to another group; the other fields are empty then.
 	Foreign bool
-	// Led says that the agent hears a coordinator, or is one, Lead which, and Age how long ago it was heard.
+	// Led reports whether the agent has contact with a coordinator, or is one. Lead is its
+	// announcement, and Age how long ago that was received.
 	Led  bool
 	Lead election.Lead
 	Age  time.Duration
-	// Claiming says that the agent waits for the answer to its own claim.
+	// Claiming reports whether the agent waits for the answer to its own claim.
 	Claiming bool
 }
 
-// Leads tells whether somebody leads the group of the rank.
+// Leads returns the coordinator of the group of the rank, if there is one.
 func (p *API) Leads(ask LeadAsk, r *LeadReply) error {
 	own := p.a.groupFor(clock.Now(), ask.Group)
 	p.a.mu.Lock()
@@ -57,39 +58,40 @@
 	return nil
 }
 
-// Run looks for a coordinator until ctx ends, and is one when there is none.
+// Run checks for a coordinator until ctx ends, and coordinates when there is none.
 func (a *Agent) Run(ctx context.Context) {
 	started := clock.Now()
 	registered := false
-	for ; ctx.Err() == nil; sleep.For(ctx, electTick) {
+	for ; ctx.Err() == nil; sleep.For(ctx, electInterval) {
 		now := clock.Now()
-		a.noteLeadership(now)
+		a.logLeadership(now)
 		if a.groupOf() == "" {
-			// Also after the engine has started anew and told no group for a moment: nobody would stand up for the group any more.
-			a.place()
+			// Also after the engine has restarted and reported no group for a moment: otherwise no
+			// agent would start a candidacy for the group any more.
+			a.readGroup()
 		}
-		if !registered && (a.opts.Bootstrap || now.Sub(started) > unknownAfter) {
-			registered = a.wasAsked() || a.registers(ctx)
+		if !registered && (a.opts.Bootstrap || now.Sub(started) > registerAfter) {
+			registered = a.wasContacted() || a.tryRegister(ctx)
 		}
 		if a.due(now) {
-			a.stand(ctx)
+			a.campaign(ctx)
 		}
 	}
 }
 
-// place learns from the engine which rank of which group it is.
-func (a *Agent) place() {
+// readGroup reads from the engine which rank of which group it is.
+func (a *Agent) readGroup() {
 	var r Reply
 	if err := a.status(Ask{}, &r); err != nil {
 		a.opts.Logger.Debug().Err(err).Msg("engine-unreachable")
 	}
 }
 
-// wasAsked reports whether a coordinator has found this process.
-func (a *Agent) wasAsked() bool {
+// wasContacted reports whether a coordinator has polled this process.
+func (a *Agent) wasContacted() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.asked
+	return a.contacted
 }
 
 func (a *Agent) due(now time.Time) bool {
@@ -98,30 +100,31 @@
 	return a.candidate.Due(now)
 }
 
-// registers is register for a process that tries until it is registered.
-func (a *Agent) registers(ctx context.Context) bool {
+// tryRegister is register for a caller that retries until the process is registered.
+func (a *Agent) tryRegister(ctx context.Context) bool {
 	err := a.register(ctx)
 	if err != nil {
 		a.opts.Logger.Warn().Err(err).Msg("registration-failed")
-		sleep.For(ctx, claimPause)
+		sleep.For(ctx, storeRetryInterval)
 	}
 	return err == nil
 }
 
 // register registers this process, so that a coordinator finds it.
 func (a *Agent) register(ctx context.Context) error {
-	cctx, cancel := context.WithTimeout(ctx, claimTime)
+	cctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := a.opts.Store.PutNodes(cctx, []peer.Info{a.opts.Self}); err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
 	// Others that were missing too are about to register.
-	a.around.listed, a.around.at = true, time.Time{}
+	a.lastView.listed, a.lastView.at = true, time.Time{}
 	return nil
 }
 
-// stand claims the authority to coordinate, unless other agents hear somebody who does, and coordinates until it is lost.
-func (a *Agent) stand(ctx context.Context) {
+// campaign claims the authority to coordinate, unless other agents have contact with a coordinator,
+// and coordinates until the authority is lost.
+func (a *Agent) campaign(ctx context.Context) {
 	var r Reply
 	before := a.groupOf()
 	if err := a.status(Ask{}, &r); err != nil {
@@ -129,16 +132,17 @@
 		return
 	}
 	if r.Status.Group != before {
-		a.tried(TryOtherGroup) // its coordinator may be about to ask
+		a.recordTry(TryOtherGroup) // its coordinator may be about to ask
 		return
 	}
-	s, err := a.surroundings(ctx)
+	s, err := a.clusterView(ctx)
 	if err != nil {
 		a.failed(TryNodesUnread, err)
 		return
 	}
 	if !s.listed {
-		// A coordinator that does not know this process never asks it, however long others hear that coordinator.
+		// A coordinator without a record of this process never polls it, however long others have
+		// contact with that coordinator.
 		if err := a.register(ctx); err != nil {
 			a.failed(TryUnregistered, err)
 			return
@@ -147,10 +151,11 @@
 	led, reached := a.othersLed(ctx, s.agents, r.Status.Group)
 	switch {
 	case led:
-		a.tried(TryOthersLed)
+		a.recordTry(TryOthersLed)
 		return
 	case !reached && r.Status.Size > 1:
-		// Who is cut off from the other agents cannot lead them, but its claim would depose whoever does.
+		// An agent that is cut off from the others cannot lead them, but its claim would depose the
+		// coordinator that does.
 		a.failed(TryNoAgent, errNoAgent)
 		return
 	}
@@ -162,30 +167,30 @@
 	lead := election.Lead{Group: r.Status.Group, Authority: authority, Rank: int(r.Status.Rank), Lease: election.Lease(0)}
 	switch {
 	case authority == 0:
-		a.tried(TryClaimerLeads)
+		a.recordTry(TryClaimerLeads)
 		return
-	case !a.hear(clock.Now(), lead):
-		a.tried(TryOutranked)
+	case !a.receive(clock.Now(), lead):
+		a.recordTry(TryOutranked)
 		return
 	}
 	c := newCoordinator(a, lead, r.Status)
 	c.found.Store(&s)
-	a.lead(c)
+	a.setCoordinator(c)
 	defer a.ended(authority)
-	a.noteLeadership(clock.Now())
+	a.logLeadership(clock.Now())
 	a.opts.Logger.Info().Uint64("authority", uint64(authority)).Str("group", string(lead.Group)).Int("rank", lead.Rank).Int("others", len(s.agents)).Msg("coordinator-begins")
 	why := c.run(ctx)
 	a.opts.Logger.Info().Uint64("authority", uint64(authority)).Str("group", string(lead.Group)).Str("reason", why).Msg("coordinator-ends")
 }
 
-// lead notes what this agent coordinates.
-func (a *Agent) lead(c *coordinator) {
+// setCoordinator records this agent's state as coordinator.
+func (a *Agent) setCoordinator(c *coordinator) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.leading = c
 }
 
-// ended notes that this agent coordinates no longer.
+// ended records that this agent no longer coordinates.
 func (a *Agent) ended(au election.Authority) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -195,59 +200,61 @@
 
 func (a *Agent) failed(end TryEnd, err error) {
 	a.opts.Logger.Warn().Err(err).Msg(string(end))
-	a.tried(end)
+	a.recordTry(end)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.candidate.Failed(clock.Now())
 }
 
-// wait gives an agent that is claiming the time to begin.
-func (a *Agent) wait() {
+// deferCampaign delays the next candidacy while another agent completes its claim.
+func (a *Agent) deferCampaign() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.candidate.Defer(clock.Now())
 }
 
-// surroundings returns which processes there are, as it was read lately.
-func (a *Agent) surroundings(ctx context.Context) (surroundings, error) {
-	if clock.Since(a.around.at) < claimPause {
-		return a.around, nil
+// clusterView returns the recently read list of processes, or reads it again.
+func (a *Agent) clusterView(ctx context.Context) (clusterView, error) {
+	if clock.Since(a.lastView.at) < storeRetryInterval {
+		return a.lastView, nil
 	}
-	cctx, cancel := context.WithTimeout(ctx, claimTime)
+	cctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	err := a.around.readNodes(cctx, clock.Now(), a.opts)
-	return a.around, err
+	err := a.lastView.readNodes(cctx, clock.Now(), a.opts)
+	return a.lastView, err
 }
 
 // errNoAgent reports that no other agent of the group has answered.
-var errNoAgent = eris.New("no other agent answers")
+var errNoAgent = eris.New("no other agent of the group answered")
 
-// othersLed asks other agents of the group, chosen by chance, whether they hear a coordinator, and takes in what they say. It
-// reports also whether any has answered. Agents of other groups do not count; which these are shows only when they answer.
+// othersLed asks randomly chosen other agents of the group whether they have contact with a
+// coordinator, and processes their answers. It also reports whether any has answered. Agents of
+// other groups are not counted; their group is known only when they answer.
 func (a *Agent) othersLed(ctx context.Context, agents []peer.Info, g group.ID) (led, reached bool) {
 	order := rand.Perm(len(agents)) //nolint:gosec // no secret
-	for own := 0; own < askedFirst && len(order) > 0; {
-		n := min(askedFirst, len(order))
+	for own := 0; own < probedAgents && len(order) > 0; {
+		n := min(probedAgents, len(order))
 		for _, r := range a.askLeads(ctx, agents, order[:n], g) {
 			if r != nil && r.Foreign {
 				continue
 			}
 			own++
 			reached = reached || r != nil
-			led = r != nil && a.follows(*r) || led
+			led = r != nil && a.accept(*r) || led
 		}
 		order = order[n:]
 	}
 	return led, reached
 }
 
-// askLeads asks agents, given by their places, whether somebody leads. The answer of one that is silent is nil.
-func (a *Agent) askLeads(ctx context.Context, agents []peer.Info, places []int, g group.ID) []*LeadReply {
+// askLeads asks agents, given by their indexes, for their coordinator. The answer of a silent agent
+// is nil.
+func (a *Agent) askLeads(ctx context.Context, agents []peer.Info, indexes []int, g group.ID) []*LeadReply {
 	var w sync.WaitGroup
-	replies := make([]*LeadReply, len(places))
-	for i, at := range places {
+	replies := make([]*LeadReply, len(indexes))
+	for i, at := range indexes {
 		w.Go(func() {
-			if r, err := a.askLead(ctx, agents[at].Address, g, peerTime); err == nil {
+			if r, err := a.askLead(ctx, agents[at].Address, g, peerTimeout); err == nil {
 				replies[i] = &r
 			}
 		})
@@ -256,19 +263,19 @@
 	return replies
 }
 
-// askLead asks an agent whether somebody leads.
-func (a *Agent) askLead(ctx context.Context, address string, g group.ID, within time.Duration) (LeadReply, error) {
-	cctx, cancel := context.WithTimeout(ctx, within)
+// askLead asks an agent for its coordinator.
+func (a *Agent) askLead(ctx context.Context, address string, g group.ID, limit time.Duration) (LeadReply, error) {
+	cctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	var r LeadReply
 	err := a.opts.Pool.Call(cctx, address, "Rank.Leads", LeadAsk{Group: g}, &r)
 	return r, err
 }
 
-// follows takes in what another agent says, and reports whether somebody leads.
-func (a *Agent) follows(r LeadReply) bool {
+// accept processes another agent's answer, and reports whether the group has a coordinator.
+func (a *Agent) accept(r LeadReply) bool {
 	if !r.Led {
 		return false
 	}
-	return a.hear(clock.Now().Add(-r.Age), r.Lead) && a.led()
+	return a.receive(clock.Now().Add(-r.Age), r.Lead) && a.led()
 }
--- a/services/rank/gather.go
+++ b/services/rank/gather.go
@@ -12,27 +12,29 @@
 	"fawnwinch.org/fawnwinch/services/peer"
 )
 
-// GatherAsk is a coordinator's question for the loads of the ranks of a part, put to the agent that relays it.
+// GatherAsk is a coordinator's request for the loads of the ranks of a part, sent to the agent that
+// relays it.
 type GatherAsk struct {
 	Ask     Ask
 	Members []GatherMember
 }
 
-// GatherMember is an agent that is asked for a coordinator.
+// GatherMember is an agent that a relay polls on behalf of a coordinator.
 type GatherMember struct {
 	Address string
-	// Counts and Since are those of the question for this agent.
+	// Counts and Since are those of the request for this agent.
 	Counts bool
 	Since  uint64
 }
 
-// GatherReply holds an answer for each member, in their order; Silent tells of those that did not answer.
+// GatherReply holds an answer for each member, in their order; Silent marks those that did not
+// answer.
 type GatherReply struct {
 	Replies []Reply
 	Silent  []bool
 }
 
-// Gather asks the agents of a part for a coordinator, this one among them.
+// Gather polls the agents of a part on behalf of a coordinator, this one among them.
 func (p *API) Gather(g GatherAsk, r *GatherReply) error {
 	r.Replies, r.Silent = make([]Reply, len(g.Members)), make([]bool, len(g.Members))
 	var w sync.WaitGroup
@@ -54,25 +56,27 @@
 	return nil
 }
 
-// ForwardOrder is a coordinator's order to several ranks of a part, given to the agent that relays it.
+// ForwardOrder is a coordinator's order to several ranks of a part, sent to the agent that relays
+// it.
 type ForwardOrder struct {
 	Order   Order
 	Members []ForwardMember
 }
 
-// ForwardMember is an agent that is given an order for a coordinator.
+// ForwardMember is an agent to which a relay sends an order on behalf of a coordinator.
 type ForwardMember struct {
 	Address string
 	Start   Start
 }
 
-// ForwardReply holds an answer for each member, in their order; Silent tells of those that did not answer.
+// ForwardReply holds an answer for each member, in their order; Silent marks those that did not
+// answer.
 type ForwardReply struct {
 	Replies []OrderReply
 	Silent  []bool
 }
 
-// Forward gives an order to the agents of a part, this one among them.
+// Forward sends an order to the agents of a part, this one among them.
 func (p *API) Forward(f ForwardOrder, r *ForwardReply) error {
 	r.Replies, r.Silent = make([]OrderReply, len(f.Members)), make([]bool, len(f.Members))
 	var w sync.WaitGroup
@@ -94,7 +98,7 @@
 
 // askAgent asks an agent for the load of its rank. It returns nil if there is no answer.
 func (a *Agent) askAgent(ctx context.Context, n peer.Info, ask Ask) *Reply {
-	cctx, cancel := context.WithTimeout(ctx, peerTime)
+	cctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	var r Reply
 	if err := a.opts.Pool.Call(cctx, n.Address, "Rank.Status", ask, &r); err != nil {
@@ -104,15 +108,15 @@
 	return &r
 }
 
-// orderTimeOf returns how long an agent may take for an order.
+// orderTimeOf returns the timeout of an order to an agent.
 func orderTimeOf(k services.RankOrderKind) time.Duration {
 	if k == services.RankPrepare {
-		return peerTime + loadTime
+		return peerTimeout + loadTimeout
 	}
-	return peerTime
+	return peerTimeout
 }
 
-// orderAgent gives an order to the agent at an address.
+// orderAgent sends an order to the agent at an address.
 func (a *Agent) orderAgent(ctx context.Context, address string, o Order) (OrderReply, error) {
 	cctx, cancel := context.WithTimeout(ctx, orderTimeOf(o.Order.Kind))
 	defer cancel()
--- a/services/rank/lead_test.go
+++ b/services/rank/lead_test.go
@@ -25,43 +25,47 @@
 	"github.com/rs/zerolog"
 )
 
-// deployment plays the real agents of the groups of one service on virtual time: calls between them take the time of the way
-// and of the processors at both ends, and there is a log of claims for each group.
+// deployment simulates the groups of one service with their real agents on virtual time: calls
+// between them take the latency of the network and the processor time at both ends, and each group
+// has a log of claims.
 type deployment struct {
 	t    *testing.T
 	rand *rand.Rand
 	// ranks is the number of ranks of each group.
 	ranks, groups int
-	// cost is the processor time of a call at each end, by the share of a core that an agent has.
+	// cost is the processor time of a call at each end, for the share of a core that an agent has.
 	cost time.Duration
 
 	mu     sync.Mutex
-	agents map[string]*played
+	agents map[string]*simAgent
 	nodes  []services.Change[peer.Info]
 	claims map[group.ID][]string
-	// era is that of the store.
+	// era is the era of the store.
 	era services.Era
-	// away says that the store does not answer; loss is the part of the calls that get none.
+	// away reports whether the store is unavailable; loss is the fraction of calls without an
+	// answer.
 	away bool
 	loss float64
-	// calls counts those of each process, and stored holds the times of its calls of the store.
+	// calls counts the calls of each process, and stored holds the times of its store calls.
 	calls  map[string]int
 	stored map[string][]time.Time
 }
 
-// played is one agent.
-type played struct {
+// simAgent is one agent of the simulation.
+type simAgent struct {
 	info  peer.Info
 	group group.ID
 	rank  int
-	// cut says that no call of another agent arrives.
+	// cut reports whether calls of other agents do not arrive.
 	cut bool
-	// mute is the time up to which the engine beside it does not answer, and groupless that up to which it tells no group.
+	// mute is the time until which the agent's engine does not answer, and groupless the time until
+	// which it reports no group.
 	mute, groupless time.Time
 	api             *API
 	cancel          context.CancelFunc
 	done            chan struct{}
-	// frozen is the time up to which its VM stands still, slow by how much it is slower, and free when its processor is.
+	// frozen is the time until which its VM is suspended, slow its slowdown factor, and free when
+	// its processor is idle.
 	frozen time.Time
 	slow   float64
 	free   time.Time
@@ -70,11 +74,11 @@
 func newDeployment(t *testing.T, groups, ranks, dataCentres int, cost time.Duration, seed uint64) *deployment {
 	d := &deployment{
 		t: t, ranks: ranks, groups: groups, cost: cost, rand: rand.New(rand.NewPCG(seed, 1)),
-		agents: map[string]*played{}, claims: map[group.ID][]string{}, calls: map[string]int{}, stored: map[string][]time.Time{},
+		agents: map[string]*simAgent{}, claims: map[group.ID][]string{}, calls: map[string]int{}, stored: map[string][]time.Time{},
 	}
 	for i := range ranks * groups {
 		name := fmt.Sprintf("agent-%03d", i)
-		d.agents[name] = &played{group: groupNamed(i / ranks), rank: i % ranks, slow: 1, info: peer.Info{
+		d.agents[name] = &simAgent{group: groupNamed(i / ranks), rank: i % ranks, slow: 1, info: peer.Info{
 			Name: name, Role: vm.RoleAgent, DataCentre: vm.DataCentre(fmt.Sprint("dc-", i%dataCentres)), Address: "at " + name, Engine: "engine of " + name, Service: "m",
 		}}
 	}
@@ -83,10 +87,10 @@
 
 func groupNamed(i int) group.ID { return group.ID(fmt.Sprint("g", i)) }
 
-// start starts an agent. Bootstrap says that nobody knows it.
-func (d *deployment) start(a *played, bootstrap bool) {
+// start starts an agent. bootstrap reports whether no process has a record of it.
+func (d *deployment) start(a *simAgent, bootstrap bool) {
 	agent := New(time.Now(), Options{
-		Self: a.info, Engine: idleEngine{d, a}, Store: playedStore{d, a.info.Name}, Pool: playedPool{d, a}, Bootstrap: bootstrap,
+		Self: a.info, Engine: idleEngine{d, a}, Store: simStore{d, a.info.Name}, Pool: simPool{d, a}, Bootstrap: bootstrap,
 		Dial: func(engine string) services.RankEngine {
 			return idleEngine{d, d.agents[strings.TrimPrefix(engine, "engine of ")]}
 		}, Logger: zerolog.Nop(),
@@ -116,21 +120,21 @@
 }
 
 // sorted returns the agents by name.
-func (d *deployment) sorted() []*played {
-	return slices.SortedFunc(maps.Values(d.agents), func(a, b *played) int { return strings.Compare(a.info.Name, b.info.Name) })
+func (d *deployment) sorted() []*simAgent {
+	return slices.SortedFunc(maps.Values(d.agents), func(a, b *simAgent) int { return strings.Compare(a.info.Name, b.info.Name) })
 }
 
-func (d *deployment) kill(a *played) {
+func (d *deployment) kill(a *simAgent) {
 	d.mu.Lock()
 	a.api = nil
 	d.mu.Unlock()
 	a.cancel()
 }
 
-// finish ends a play, also one that has failed.
+// finish ends a simulation, also one that has failed.
 func (d *deployment) finish() {
 	d.killAll()
-	time.Sleep(2 * loadTime) // calls under way end
+	time.Sleep(2 * loadTimeout) // calls under way end
 }
 
 func (d *deployment) killAll() {
@@ -142,14 +146,14 @@
 	}
 }
 
-// leader returns the agent that most others of a group hear, or nil.
-func (d *deployment) leader(g group.ID) *played {
+// leader returns the agent that most others of a group have contact with as coordinator, or nil.
+func (d *deployment) leader(g group.ID) *simAgent {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.lockedLeader(g)
 }
 
-func (d *deployment) lockedLeader(g group.ID) *played {
+func (d *deployment) lockedLeader(g group.ID) *simAgent {
 	heard := map[int]int{}
 	for _, a := range d.agents {
 		if a.api == nil || a.group != g {
@@ -176,8 +180,8 @@
 	return p.a.leading != nil
 }
 
-// led waits until a group that had no leader, or one, has another.
-func (d *deployment) led(what string, g group.ID, before *played, most time.Duration) time.Duration {
+// led waits until a group without a leader, or with the leader before, has another.
+func (d *deployment) led(what string, g group.ID, before *simAgent, most time.Duration) time.Duration {
 	d.t.Helper()
 	begun := time.Now()
 	for {
@@ -202,18 +206,19 @@
 	return n
 }
 
-// returned has the store come back without the latest claims of a group. The caller holds the lock.
+// returned restores the store without the latest claims of a group. The caller holds the lock.
 func (d *deployment) returned(g group.ID, fewer int) {
 	d.claims[g] = d.claims[g][:len(d.claims[g])-fewer]
 	d.era++
 }
 
-// end returns the end of a stream with so many records. The caller holds the lock.
+// end returns the end of a stream with the given number of records. The caller holds the lock.
 func (d *deployment) end(records int) services.Place {
 	return services.Place{Era: d.era}.After(records)
 }
 
-// storedWithin returns the most calls of the store that a process has made in any time of a length, and which process.
+// storedWithin returns the maximum number of store calls that a process has made within any period
+// of the given length, and the process.
 func (d *deployment) storedWithin(length time.Duration) (most int, name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -232,7 +237,7 @@
 }
 
 // made returns how many calls an agent has made.
-func (d *deployment) made(a *played) int {
+func (d *deployment) made(a *simAgent) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls[a.info.Name]
@@ -244,8 +249,8 @@
 	change()
 }
 
-// work takes the time of a processor that a call needs, and waits while the VM stands still.
-func (d *deployment) work(a *played, part float64) {
+// work occupies the processor for a call, and waits while the VM is suspended.
+func (d *deployment) work(a *simAgent, part float64) {
 	d.mu.Lock()
 	now := time.Now()
 	a.free = maxTime(maxTime(a.free, now), a.frozen).Add(time.Duration(part * float64(d.cost) * a.slow))
@@ -261,15 +266,15 @@
 	return b
 }
 
-// playedPool carries the calls of one agent.
-type playedPool struct {
+// simPool carries the calls of one agent.
+type simPool struct {
 	d    *deployment
-	from *played
+	from *simAgent
 }
 
-var errPlayed = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-func (p playedPool) Call(ctx context.Context, address, method string, args, reply any) error {
+func (p simPool) Call(ctx context.Context, address, method string, args, reply any) error {
 	d := p.d
 	d.mu.Lock()
 	to := d.agents[strings.TrimPrefix(address, "at ")]
@@ -279,7 +284,7 @@
 	done := make(chan error, 1)
 	go func() {
 		d.work(p.from, 1)
-		time.Sleep(way(p.from.info, to.info))
+		time.Sleep(latency(p.from.info, to.info))
 		if lost || ctx.Err() != nil {
 			return
 		}
@@ -288,11 +293,11 @@
 		api := to.api
 		d.mu.Unlock()
 		if api == nil {
-			done <- errPlayed
+			done <- errNoAnswer
 			return
 		}
 		own, err := serve(api, method, args)
-		time.Sleep(way(p.from.info, to.info))
+		time.Sleep(latency(p.from.info, to.info))
 		d.work(p.from, 1)
 		if ctx.Err() != nil {
 			return
@@ -308,7 +313,7 @@
 	}
 }
 
-func way(a, b peer.Info) time.Duration {
+func latency(a, b peer.Info) time.Duration {
 	if a.DataCentre == b.DataCentre {
 		return 200 * time.Microsecond
 	}
@@ -335,7 +340,7 @@
 	}
 }
 
-// hand hands an answer over to the caller.
+// hand copies an answer to the caller's reply.
 func hand(from, to any) {
 	switch r := to.(type) {
 	case *Reply:
@@ -350,7 +355,7 @@
 // idleEngine is the engine of a group without requests.
 type idleEngine struct {
 	d *deployment
-	a *played
+	a *simAgent
 }
 
 func (e idleEngine) Status(ctx context.Context) (services.RankStatus, error) {
@@ -374,16 +379,16 @@
 }
 func (idleEngine) Map(context.Context) (services.RankMap, error) { return services.RankMap{}, nil }
 func (idleEngine) Order(context.Context, services.RankOrder) (services.RankAnswer, error) {
-	return services.RankUnknown, errPlayed
+	return services.RankUnknown, errNoAnswer
 }
 
-// playedStore is the store as a process uses it: an answer takes 4 ms.
-type playedStore struct {
+// simStore is the store as seen by a process: an answer takes 4 ms.
+type simStore struct {
 	d    *deployment
 	name string
 }
 
-func (s playedStore) answer(ctx context.Context) error {
+func (s simStore) answer(ctx context.Context) error {
 	s.d.mu.Lock()
 	s.d.stored[s.name] = append(s.d.stored[s.name], time.Now())
 	s.d.mu.Unlock()
@@ -398,7 +403,7 @@
 	return nil
 }
 
-func (s playedStore) Claim(ctx context.Context, g, name string, end services.Place) (services.Place, bool, error) {
+func (s simStore) Claim(ctx context.Context, g, name string, end services.Place) (services.Place, bool, error) {
 	if err := s.answer(ctx); err != nil {
 		return services.Place{}, false, err
 	}
@@ -412,7 +417,7 @@
 	return s.d.end(len(claims) + 1), true, nil
 }
 
-func (s playedStore) Claimer(ctx context.Context, g string, end services.Place) (string, error) {
+func (s simStore) Claimer(ctx context.Context, g string, end services.Place) (string, error) {
 	if err := s.answer(ctx); err != nil {
 		return "", err
 	}
@@ -425,7 +430,7 @@
 	return claims[end.Offset-1], nil
 }
 
-func (s playedStore) PutNodes(ctx context.Context, nodes []peer.Info) error {
+func (s simStore) PutNodes(ctx context.Context, nodes []peer.Info) error {
 	if err := s.answer(ctx); err != nil {
 		return err
 	}
@@ -437,13 +442,13 @@
 	return nil
 }
 
-func (s playedStore) Nodes() services.Feed[peer.Info] { return playedNodes{s} }
+func (s simStore) Nodes() services.Feed[peer.Info] { return simNodes{s} }
 
-func (s playedStore) Catalogs() services.Feed[catalog.Catalog] { return noCatalogs{} }
+func (s simStore) Catalogs() services.Feed[catalog.Catalog] { return noCatalogs{} }
 
-type playedNodes struct{ s playedStore }
+type simNodes struct{ s simStore }
 
-func (n playedNodes) Snapshot(ctx context.Context) ([]services.Change[peer.Info], services.Place, error) {
+func (n simNodes) Snapshot(ctx context.Context) ([]services.Change[peer.Info], services.Place, error) {
 	if err := n.s.answer(ctx); err != nil {
 		return nil, services.Place{}, err
 	}
@@ -452,8 +457,8 @@
 	return append([]services.Change[peer.Info](nil), n.s.d.nodes...), n.s.d.end(len(n.s.d.nodes)), nil
 }
 
-func (playedNodes) Changes(context.Context, services.Place, time.Duration) ([]services.Change[peer.Info], services.Place, error) {
-	return nil, services.Place{}, errPlayed
+func (simNodes) Changes(context.Context, services.Place, time.Duration) ([]services.Change[peer.Info], services.Place, error) {
+	return nil, services.Place{}, errNoAnswer
 }
 
 type noCatalogs struct{}
@@ -463,12 +468,13 @@
 }
 
 func (noCatalogs) Changes(context.Context, services.Place, time.Duration) ([]services.Change[catalog.Catalog], services.Place, error) {
-	return nil, services.Place{}, errPlayed
+	return nil, services.Place{}, errNoAnswer
 }
 
-// TestOneLeader plays groups of all sizes on virtual time: through a start, the death of the coordinator, its freeze, and the
-// death of all, calls that get lost, a coordinator that turns slow, and a store that is away. Few claims are made, and
-// the group is led again soon.
+// TestOneLeader simulates groups of all sizes on virtual time: a start, the death of the
+// coordinator, its suspension, the death of all agents, lost calls, a coordinator that becomes
+// slow, and an unavailable store. Few claims may be made, and the group must soon have a
+// coordinator again.
 func TestOneLeader(t *testing.T) {
 	cases := map[string]struct {
 		ranks, dataCentres int
@@ -545,23 +551,26 @@
 	t.Logf("led %s after a start, %s after the death and %s after the freeze of the coordinator, %s after the death of all; %d claims; calls of the coordinator %.0f a second", start, death, freeze, again, d.claimed(), calls)
 }
 
-// mostStored is the number of calls of the store that an agent may make in storedIn, whatever happens.
+// maxStored is the maximum number of store calls that an agent may make within storedIn in any
+// case.
 const (
-	mostStored = 15
-	storedIn   = 5 * time.Second
+	maxStored = 15
+	storedIn  = 5 * time.Second
 )
 
-// TestGroupsLed plays several groups of one service. The users met two of three groups of 24 ranks that nobody led: agents start two
-// seconds before their engines, and one that did not know its group yet took in the authority of another group's coordinator,
-// which had begun first (`coordinator-begins authority=1 others=71 process=side-mtl-est-1 rank=0`, the only such line of the day; 94
-// `group-load` lines, all of that process). Its own claim then had to follow on an end that the log of its group did not have, and lost for ever: 11,284
-// calls of the store, and 0.37 of what was owed to one route. Each group has to be led by a coordinator of its own with few
-// claims, and no process may call the store often, also where engines answer late, groups form anew with other ranks, and a
-// group cannot be led at all.
+// TestGroupsLed simulates several groups of one service. It guards against groups that stay without
+// a coordinator, seen in two of three groups of 24 ranks: agents started two seconds before their
+// engines, and an agent that did not know its group yet accepted the authority of another group's
+// coordinator (of which the log had `coordinator-begins authority=1 others=71
+// process=side-mtl-est-1 rank=0` and 94 `group-load` lines). Its own claim then had to follow an
+// end that its group's log did not have, and failed for ever: 11,284 store calls, and 0.37 of the
+// worth owed to one route. Each group must get a coordinator of its own with few claims, and no
+// process may call the store often, also where engines answer late, groups form again with other
+// ranks, or a group cannot be led at all.
 func TestGroupsLed(t *testing.T) {
 	cases := map[string]struct {
 		groups, ranks int
-		// late is the time in which engines begin to answer, each at its own.
+		// late is the period in which engines begin to answer, each at its own time.
 		late time.Duration
 	}{
 		"2 groups of 12":               {2, 12, 0},
@@ -579,10 +588,10 @@
 	}
 }
 
-// allLed waits until each group has a leader that is not one of those before.
-func (d *deployment) allLed(what string, before map[group.ID]*played, most time.Duration) map[group.ID]*played {
+// allLed waits until each group has a leader other than the one before.
+func (d *deployment) allLed(what string, before map[group.ID]*simAgent, most time.Duration) map[group.ID]*simAgent {
 	d.t.Helper()
-	leaders := map[group.ID]*played{}
+	leaders := map[group.ID]*simAgent{}
 	for i := range d.groups {
 		g := groupNamed(i)
 		d.led(what, g, before[g], most)
@@ -602,8 +611,8 @@
 			t.Errorf("%s: %d claims, want %d at most", what, now-last, most)
 		}
 		last = now
-		if n, name := d.storedWithin(storedIn); n > mostStored {
-			t.Errorf("%s: %s has called the store %d times in %s, want %d at most", what, name, n, storedIn, mostStored)
+		if n, name := d.storedWithin(storedIn); n > maxStored {
+			t.Errorf("%s: %s has called the store %d times in %s, want %d at most", what, name, n, storedIn, maxStored)
 		}
 	}
 	for _, a := range d.agents {
@@ -635,7 +644,7 @@
 	settled("a group whose agents cannot be reached", 3*d.groups)
 }
 
-// deal forms all groups anew, with other ranks.
+// deal forms all groups again, with other ranks.
 func (d *deployment) deal() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -645,14 +654,15 @@
 	}
 }
 
-// TestLedAgain plays what an agent takes for known although it has become untrue, as the group of another coordinator was once: its own
-// group, while the engine beside it has started anew and tells none yet, and the end of its group's log of claims, where that was begun anew.
-// An agent that had learned its group did not ask for it again, so no agent of the group stood up any more (`group-leaderless group="" tries=0`). The
-// group has to be led again within some seconds, with few calls of the store.
+// TestLedAgain simulates stale state in agents: their own group while the restarted engine reports
+// none yet, and the end of the group's log of claims where that has restarted from empty. An agent
+// that knew its group did not ask for it again, so no agent of the group started a candidacy any
+// more (`group-leaderless group="" tries=0`). The group must have a coordinator again within some
+// seconds, with few store calls.
 func TestLedAgain(t *testing.T) {
 	const ranks = 12
 	cases := map[string]struct {
-		// before is done before the coordinator dies, and strike at that time.
+		// before runs before the coordinator dies, and strike at that time.
 		before, strike func(d *deployment)
 		most           time.Duration
 	}{
@@ -702,19 +712,19 @@
 				}
 				t.Logf("led again after %s", d.led(name, "g0", before, c.most))
 				time.Sleep(5 * time.Second)
-				if n, process := d.storedWithin(storedIn); n > mostStored {
-					t.Errorf("%s has called the store %d times in %s, want %d at most", process, n, storedIn, mostStored)
+				if n, process := d.storedWithin(storedIn); n > maxStored {
+					t.Errorf("%s has called the store %d times in %s, want %d at most", process, n, storedIn, maxStored)
 				}
 			})
 		})
 	}
 }
 
-// TestLedAfterReturn has the log of claims lose its end, and the coordinator die then or some time later: another leads as soon as after any
-// death.
+// TestLedAfterReturn has the log of claims lose its end, and the coordinator die then or some time
+// later: another must lead as soon as after any death.
 func TestLedAfterReturn(t *testing.T) {
 	const g = group.ID("g0")
-	// cut has the store come back with so many claims fewer.
+	// cut restores the store without the latest claims; fewer is their number.
 	cut := func(d *deployment, fewer int) { d.set(func() { d.returned(g, fewer) }) }
 	cases := map[string]func(d *deployment){
 		"three claims fewer":       func(d *deployment) { cut(d, 3) },
@@ -771,12 +781,13 @@
 	}
 }
 
-// TestLedWithoutAgents has the store come back without any agent and the coordinator die at the same moment: the others find each other again
-// and one of them leads all.
+// TestLedWithoutAgents has the store restored without any agent and the coordinator die at the same
+// moment: the others must find each other again, and one of them must lead all.
 func TestLedWithoutAgents(t *testing.T) {
 	const g = group.ID("g0")
-	// pauses is what two pauses of agents that reach nobody take, and the lease of the coordinator. Each agent registers when it is its
-	// turn to stand up: that takes a turn for each.
+	// pauses is the time of two back-offs of agents that reach no other, plus the lease of the
+	// coordinator. Each agent registers when its stagger delay has passed, which adds turns for
+	// each.
 	const pauses, turns = 3 * time.Second, 30 * time.Millisecond
 	for _, ranks := range []int{12, 129} {
 		t.Run(fmt.Sprint(ranks, " ranks"), func(t *testing.T) {
--- a/services/rank/leadership.go
+++ b/services/rank/leadership.go
@@ -13,55 +13,58 @@
 )
 
 const (
-	// leaderlessAfter is how long nobody is heard before an agent logs it: a coordinator that has died is replaced within a second
-	// and a half (TestOneLeader).
+	// leaderlessAfter is how long an agent has no contact with a coordinator before it logs that: a
+	// coordinator that has died is replaced within a second and a half (TestOneLeader).
 	leaderlessAfter = 2 * time.Second
-	// leaderlessEvery is the time between two such lines while that lasts.
-	leaderlessEvery = 10 * time.Second
+	// leaderlessInterval is the time between two such lines while that lasts.
+	leaderlessInterval = 10 * time.Second
 )
 
-// Leadership is what an agent knows of who coordinates the group of the rank beside it.
+// Leadership is an agent's record of the coordinator of its rank's group.
 type Leadership struct {
-	// Group is empty until the engine has told it.
+	// Group is empty until the engine has reported it.
 	Group group.ID
 	Rank  group.Rank
-	// Led says that a coordinator was heard within its lease.
+	// Led reports whether contact with a coordinator was within its lease.
 	Led bool
-	// Authority is the highest that was heard, and Claimed the highest that is known to be claimed; 0 for none.
+	// Authority is the highest that was received, and Claimed the highest that is known to be
+	// claimed; 0 for none.
 	Authority, Claimed election.Authority
-	// Silence is how long ago the coordinator was heard, or the group was learned if none was.
+	// Silence is the time since the last contact with the coordinator, or since the group became
+	// known if there was none.
 	Silence time.Duration
-	// Tries counts the tries to stand up since a coordinator was heard, and LastTry tells how the latest ended.
+	// Tries counts the candidacies since the last contact with a coordinator, and LastTry is how
+	// the latest ended.
 	Tries   int
 	LastTry TryEnd
 }
 
-// TryEnd tells how a try to stand up has ended.
+// TryEnd is how a candidacy has ended.
 type TryEnd string
 
-// The ends of a try to stand up that do not lead to a coordinator beside this rank.
+// The ends of a candidacy that do not make the agent coordinator.
 const (
-	// TryNoEngine ends a try because the engine does not answer.
+	// TryNoEngine means that the engine did not answer.
 	TryNoEngine TryEnd = "engine-unreachable"
-	// TryOtherGroup ends a try because the engine has told another group than before.
+	// TryOtherGroup means that the engine reported another group than before.
 	TryOtherGroup TryEnd = "group-formed-anew"
-	// TryNodesUnread ends a try because the list of processes could not be read.
+	// TryNodesUnread means that the list of processes could not be read.
 	TryNodesUnread TryEnd = "nodes-unread"
-	// TryOthersLed ends a try because another agent hears a coordinator.
+	// TryOthersLed means that another agent has contact with a coordinator.
 	TryOthersLed TryEnd = "others-led"
-	// TryNoAgent ends a try because no other agent of the group has answered.
+	// TryNoAgent means that no other agent of the group answered.
 	TryNoAgent TryEnd = "agents-unreached"
-	// TryUnregistered ends a try because the process could not be registered.
+	// TryUnregistered means that the process could not be registered.
 	TryUnregistered TryEnd = "registration-failed"
-	// TryClaimFailed ends a try because the store did not take the claim.
+	// TryClaimFailed means that the store did not accept the claim.
 	TryClaimFailed TryEnd = "claim-failed"
-	// TryClaimerLeads ends a try because an agent that has claimed before leads, or is about to.
+	// TryClaimerLeads means that an agent that has claimed before leads, or is about to.
 	TryClaimerLeads TryEnd = "claimer-leads"
-	// TryOutranked ends a try because a higher authority than the one claimed was heard.
+	// TryOutranked means that a higher authority than the one claimed was received.
 	TryOutranked TryEnd = "claim-outranked"
 )
 
-// Leadership returns what the agent knows of who coordinates its group.
+// Leadership returns the agent's record of the coordinator of its group.
 func (a *Agent) Leadership(now time.Time) Leadership {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -72,59 +75,62 @@
 	}
 }
 
-// tried notes how a try to stand up has ended.
-func (a *Agent) tried(end TryEnd) {
+// recordTry records how a candidacy has ended.
+func (a *Agent) recordTry(end TryEnd) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.tries++
 	a.lastTry = end
 }
 
-// leaderlessNotes decides when an agent logs that nobody leads its group. Such a group keeps its map, and routers guess its load: without
-// a line of its own that shows as late answers only. It does no I/O and reads no clock.
-type leaderlessNotes struct {
-	// since is when the group was last led, while it is noted that it is not, and noted when that was last logged.
-	since, noted time.Time
+// leaderlessLog decides when an agent logs that its group has no coordinator. Such a group keeps
+// its map, and routers estimate its load: without a log line of its own, only late answers would
+// show it. It does no I/O and reads no clock.
+type leaderlessLog struct {
+	// since is when the group last had a coordinator, while its absence is logged, and logged when
+	// that was last logged.
+	since, logged time.Time
 }
 
-// leaderlessNote is what is to be logged.
-type leaderlessNote string
+// leaderlessEvent is the event that is to be logged.
+type leaderlessEvent string
 
-// The notes on who leads a group.
+// The events about the coordinator of a group.
 const (
-	noteNothing    leaderlessNote = ""
-	noteLeaderless leaderlessNote = "group-leaderless"
-	noteLedAgain   leaderlessNote = "group-led-again"
+	logNothing    leaderlessEvent = ""
+	logLeaderless leaderlessEvent = "group-leaderless"
+	logLedAgain   leaderlessEvent = "group-led-again"
 )
 
-// next returns what is to be logged now, and since when the group has not been led.
-func (u *leaderlessNotes) next(now time.Time, l Leadership) (leaderlessNote, time.Time) {
+// next returns the event that is to be logged now, and since when the group has had no coordinator.
+func (u *leaderlessLog) next(now time.Time, l Leadership) (leaderlessEvent, time.Time) {
 	switch since := u.since; {
 	case l.Led && since.IsZero():
-		return noteNothing, since
+		return logNothing, since
 	case l.Led:
-		*u = leaderlessNotes{}
-		return noteLedAgain, since
-	case l.Silence < leaderlessAfter || !since.IsZero() && now.Sub(u.noted) < leaderlessEvery:
-		return noteNothing, since
+		*u = leaderlessLog{}
+		return logLedAgain, since
+	case l.Silence < leaderlessAfter || !since.IsZero() && now.Sub(u.logged) < leaderlessInterval:
+		return logNothing, since
 	case since.IsZero():
 		u.since = now.Add(-l.Silence)
 	}
-	u.noted = now
-	return noteLeaderless, u.since
+	u.logged = now
+	return logLeaderless, u.since
 }
 
-// noteLeadership logs that nobody leads the group, from time to time, and that somebody does again.
-func (a *Agent) noteLeadership(now time.Time) {
+// logLeadership logs at intervals that the group has no coordinator, and once that it has one
+// again.
+func (a *Agent) logLeadership(now time.Time) {
 	l := a.Leadership(now)
 	note, since := a.leaderless.next(now, l)
 	var line *zerolog.Event
 	switch note {
-	case noteLeaderless:
+	case logLeaderless:
 		line = a.opts.Logger.Warn().Int("tries", l.Tries).Str("last_try", string(l.LastTry)).Uint64("claimed", uint64(l.Claimed))
-	case noteLedAgain:
+	case logLedAgain:
 		line = a.opts.Logger.Info()
-	case noteNothing:
+	case logNothing:
 		return
 	}
 	line.Str("group", string(l.Group)).Int("rank", int(l.Rank)).Uint64("authority", uint64(l.Authority)).
--- a/services/rank/map.go
+++ b/services/rank/map.go
@@ -12,7 +12,7 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// readMap puts the map in use together from what each rank holds.
+// readMap assembles the map in use from what each rank holds.
 func (c *coordinator) readMap(ctx context.Context, status []services.RankStatus) (*expertmap.Map, bool) {
 	m := &expertmap.Map{Group: status[0].Group, Version: status[0].Map, Layers: make([]expertmap.Layer, c.engine.Layers)}
 	for l := range m.Layers {
@@ -35,7 +35,7 @@
 	return m, true
 }
 
-// heldMaps asks all ranks at once what they hold.
+// heldMaps asks all ranks concurrently what they hold.
 func (c *coordinator) heldMaps(ctx context.Context, ranks int) ([]services.RankMap, []error) {
 	parts := make([]services.RankMap, ranks)
 	errs := make([]error, ranks)
@@ -48,7 +48,7 @@
 }
 
 func (c *coordinator) mapOf(ctx context.Context, r group.Rank) (services.RankMap, error) {
-	cctx, cancel := context.WithTimeout(ctx, peerTime)
+	cctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	m := c.members[r]
 	if m.info.Name == c.a.opts.Self.Name {
@@ -58,7 +58,7 @@
 	if err := c.a.opts.Pool.Call(cctx, m.info.Address, "Rank.Map", Ask{Lead: c.lead()}, &held); err == nil {
 		return held, nil
 	}
-	dctx, dcancel := context.WithTimeout(ctx, peerTime)
+	dctx, dcancel := context.WithTimeout(ctx, peerTimeout)
 	defer dcancel()
 	return c.a.opts.Dial(m.info.Engine).Map(dctx)
 }
--- a/services/rank/members.go
+++ b/services/rank/members.go
@@ -13,33 +13,34 @@
 	"fawnwinch.org/fawnwinch/services/peer"
 )
 
-// foreignValid is how long an agent counts as one of another group once it has said so. Groups change when their ranks
-// start anew, which takes seconds.
+// foreignValid is how long an agent's report that it belongs to another group is valid. Groups
+// change when their ranks restart, which takes seconds.
 const foreignValid = 2 * time.Second
 
-// answers is what the agents of a part have answered to a question that was sent at a time; a reply is nil for one that
-// did not.
+// answers holds the answers of the agents of a part to a request that was sent at a time; a reply
+// is nil for an agent that did not answer.
 type answers struct {
 	part    part
 	sent    time.Time
 	replies []*Reply
-	// failed names a relay that did not answer. Direct says that an engine was asked, and not the agents.
+	// failed names a relay that did not answer. direct reports whether an engine was asked instead
+	// of the agents.
 	failed string
 	direct bool
 }
 
-// look asks all ranks for their load. It waits for the parts whose answers came in time before; others are taken in
-// when they come.
-func (c *coordinator) look(ctx context.Context, counts bool) {
+// poll asks all ranks for their load. It waits for the parts that answered in time before; answers
+// of the others are processed when they arrive.
+func (c *coordinator) poll(ctx context.Context, counts bool) {
 	now := clock.Now()
-	c.noteLook(now)
+	c.noteRound(now)
 	counted := map[string]bool{}
 	if counts {
-		counted = c.counted(now)
+		counted = c.enginesToCount(now)
 		c.dropCounts(counted)
 	}
-	c.lookAtSelf(counted)
-	waited := map[string]bool{}
+	c.pollSelf(counted)
+	awaited := map[string]bool{}
 	for _, p := range c.parts {
 		key := p[0].Name
 		if c.outstanding[key] || len(p) == 1 && c.skips(now, p[0]) {
@@ -47,33 +48,33 @@
 		}
 		c.outstanding[key] = true
 		if !c.late[key] {
-			waited[key] = true
+			awaited[key] = true
 		}
 		c.askPart(ctx, now, p, counted)
 	}
-	c.collect(ctx, waited)
+	c.collect(ctx, awaited)
 	c.askDirectly(ctx)
-	c.judge(clock.Now())
+	c.checkReach(clock.Now())
 }
 
-// lookAtSelf takes in the load of the own rank.
-func (c *coordinator) lookAtSelf(counted map[string]bool) {
+// pollSelf records the load of the coordinator's own rank.
+func (c *coordinator) pollSelf(counted map[string]bool) {
 	sent := clock.Now()
 	var own Reply
 	err := c.a.status(c.ask(c.a.opts.Self, counted), &own)
 	switch {
-	case err != nil: // it is asked again with the next look
+	case err != nil: // retried in the next round
 	case own.Ended:
 		c.noteEnded(sent, c.a.opts.Self)
 	default:
 		s := own.Status
 		c.moved = s.Group != c.first.Group || s.Rank != c.first.Rank || s.Size != c.first.Size
-		c.take(sent, c.a.opts.Self, own)
+		c.record(sent, c.a.opts.Self, own)
 	}
-	c.lost = c.lost || !c.a.hear(clock.Now(), c.lead())
+	c.lost = c.lost || !c.a.receive(clock.Now(), c.lead())
 }
 
-// askPart asks the agents of a part. What they answer comes in the inbox.
+// askPart polls the agents of a part. Their answers arrive in the inbox.
 func (c *coordinator) askPart(ctx context.Context, now time.Time, p part, counted map[string]bool) {
 	if len(p) == 1 {
 		ask := c.ask(p[0], counted)
@@ -92,9 +93,9 @@
 	c.sending.Go(func() { c.inbox <- c.gather(ctx, now, p, relay, g) })
 }
 
-// gather has a relay ask the agents of its part.
+// gather polls the agents of a part through a relay.
 func (c *coordinator) gather(ctx context.Context, sent time.Time, p part, relay peer.Info, g GatherAsk) answers {
-	cctx, cancel := context.WithTimeout(ctx, relayTime)
+	cctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	out := answers{part: p, sent: sent, replies: make([]*Reply, len(p))}
 	var r GatherReply
@@ -112,11 +113,12 @@
 	return out
 }
 
-// collect takes in answers until all parts that are waited for have answered, and all that have come by then.
-func (c *coordinator) collect(ctx context.Context, waited map[string]bool) {
+// collect processes answers until all awaited parts have answered, and all others that have arrived
+// by then.
+func (c *coordinator) collect(ctx context.Context, awaited map[string]bool) {
 	for {
 		var a answers
-		if len(waited) > 0 {
+		if len(awaited) > 0 {
 			select {
 			case a = <-c.inbox:
 			case <-ctx.Done():
@@ -129,15 +131,15 @@
 				return
 			}
 		}
-		c.takeAll(a)
+		c.recordAll(a)
 		if !a.direct {
-			delete(waited, a.part[0].Name)
+			delete(awaited, a.part[0].Name)
 		}
 	}
 }
 
-// takeAll takes in the answers of a part.
-func (c *coordinator) takeAll(a answers) {
+// recordAll records the answers of a part.
+func (c *coordinator) recordAll(a answers) {
 	now := clock.Now()
 	if key := a.part[0].Name; !a.direct {
 		c.outstanding[key], c.late[key] = false, now.Sub(a.sent) > lateAfter
@@ -155,12 +157,13 @@
 		case r.Ended:
 			c.noteEnded(a.sent, a.part[i])
 		default:
-			c.take(a.sent, a.part[i], *r)
+			c.record(a.sent, a.part[i], *r)
 		}
 	}
 }
 
-// noteEnded notes that the engine of a rank has ended, as its agent has found after a question that was sent at a time.
+// noteEnded records that the engine of a rank has ended, as its agent reported after a request that
+// was sent at a time.
 func (c *coordinator) noteEnded(sent time.Time, n peer.Info) {
 	m := c.memberOf(n)
 	if m == nil || sent.Before(m.sent) {
@@ -172,26 +175,28 @@
 	m.ended = sent
 }
 
-// judge notes whether most ranks are in reach.
-func (c *coordinator) judge(now time.Time) {
-	heard := 0
+// checkReach records whether most ranks are reachable.
+func (c *coordinator) checkReach(now time.Time) {
+	reachable := 0
 	for _, m := range c.members {
-		if m.known && now.Sub(m.heard) < time.Second {
-			heard++
+		if m.known && now.Sub(m.lastContact) < time.Second {
+			reachable++
 		}
 	}
-	if 2*heard > len(c.members) {
+	if 2*reachable > len(c.members) {
 		c.reached = now
 	}
 }
 
-// skips reports whether an agent need not be asked in a look: it has lately said that its rank is of another group.
+// skips reports whether an agent need not be polled in a round: it has recently reported that its
+// rank is of another group.
 func (c *coordinator) skips(now time.Time, n peer.Info) bool {
-	told, ok := c.foreign[n.Name]
-	return ok && now.Sub(told) < foreignValid
+	reportedAt, ok := c.foreign[n.Name]
+	return ok && now.Sub(reportedAt) < foreignValid
 }
 
-// ask returns the question for the agent of a rank. Counted holds the engines whose counts are wanted.
+// ask returns the request for the agent of a rank. counted holds the engines whose counts are
+// requested.
 func (c *coordinator) ask(n peer.Info, counted map[string]bool) Ask {
 	a := Ask{Lead: c.lead(), Counts: counted[n.Engine]}
 	if a.Counts {
@@ -206,18 +211,18 @@
 func (c *coordinator) askDirectly(ctx context.Context) {
 	now := clock.Now()
 	for _, n := range c.agents {
-		if c.asking.Load() >= directAtOnce || c.skips(now, n) {
+		if c.asking.Load() >= maxDirect || c.skips(now, n) {
 			continue
 		}
 		m := c.memberOf(n)
-		if m != nil && (now.Sub(m.heard) < directEvery || now.Sub(m.asked) < directEvery) {
+		if m != nil && (now.Sub(m.lastContact) < directInterval || now.Sub(m.directAt) < directInterval) {
 			continue
 		}
-		if m == nil && now.Sub(c.at) > directEvery {
+		if m == nil && now.Sub(c.at) > directInterval {
 			continue
 		}
 		if m != nil {
-			m.asked = now
+			m.directAt = now
 		}
 		c.asking.Add(1)
 		c.sending.Go(func() {
@@ -230,7 +235,7 @@
 // askEngine asks a rank's engine directly.
 func (c *coordinator) askEngine(ctx context.Context, n peer.Info) answers {
 	sent := clock.Now()
-	cctx, cancel := context.WithTimeout(ctx, peerTime)
+	cctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	s, err := c.a.opts.Dial(n.Engine).Status(cctx)
 	c.logger.Info().Str("agent", n.Name).Str("engine", n.Engine).Int("rank", int(s.Rank)).Uint64("step", uint64(s.Step)).
@@ -251,8 +256,9 @@
 	return nil
 }
 
-// take notes a rank's reply to a question that was sent at a time. One that was overtaken by a later one is dropped.
-func (c *coordinator) take(sent time.Time, n peer.Info, r Reply) {
+// record records a rank's reply to a request that was sent at a time. A reply that a later one has
+// overtaken is dropped.
+func (c *coordinator) record(sent time.Time, n peer.Info, r Reply) {
 	if int(r.Status.Rank) >= len(c.members) || r.Status.Size != len(c.members) || r.Status.Group != c.first.Group {
 		return
 	}
@@ -260,18 +266,19 @@
 	if m.known && (sent.Before(m.sent) || n.Engine == m.info.Engine && r.Status.Born < m.status.Born) {
 		return
 	}
-	m.info, m.status, m.sent, m.heard, m.known = n, r.Status, sent, clock.Now(), true
+	m.info, m.status, m.sent, m.lastContact, m.known = n, r.Status, sent, clock.Now(), true
 	if r.Start != 0 {
 		m.start = r.Start
 	}
 	m.counts.add(r.Counts)
 }
 
-// statuses returns the latest status of every rank, or false if one is not known or they differ in epoch.
+// statuses returns the latest status of every rank, or false if one is missing or they differ in
+// epoch.
 func (c *coordinator) statuses(now time.Time) ([]services.RankStatus, bool) {
 	out := make([]services.RankStatus, len(c.members))
 	for i, m := range c.members {
-		if !m.known || now.Sub(m.heard) > 2*directEvery || m.status.Epoch != c.members[0].status.Epoch || !m.status.Open {
+		if !m.known || now.Sub(m.lastContact) > 2*directInterval || m.status.Epoch != c.members[0].status.Epoch || !m.status.Open {
 			return nil, false
 		}
 		out[i] = m.status
@@ -279,14 +286,15 @@
 	return out, true
 }
 
-// statusesBut returns the one rank that has not answered for some looks, and the status of all others; false if it is
-// not one, or the others differ in epoch or have not answered lately.
-func (c *coordinator) statusesBut(now time.Time) (silent group.Rank, out []services.RankStatus, ok bool) {
+// statusesExceptOne returns the one rank that has not answered for some rounds, and the status of
+// all others; false if there is not exactly one, or the others differ in epoch or have not answered
+// recently.
+func (c *coordinator) statusesExceptOne(now time.Time) (silent group.Rank, out []services.RankStatus, ok bool) {
 	out = make([]services.RankStatus, len(c.members))
 	var epoch services.Epoch
 	count := 0
 	for r, m := range c.members {
-		if !m.known || now.Sub(m.heard) > missingAfter {
+		if !m.known || now.Sub(m.lastContact) > missingAfter {
 			silent = group.Rank(r)
 			count++
 			continue
--- a/services/rank/members_test.go
+++ b/services/rank/members_test.go
@@ -23,7 +23,7 @@
 	"github.com/rs/zerolog"
 )
 
-// outStore answers the first reads with a failure, then once, and is silent after that.
+// outStore fails the first reads, answers the next one, and does not answer afterwards.
 type outStore struct {
 	nodes    []peer.Info
 	catalog  catalog.Catalog
@@ -31,7 +31,7 @@
 
 	mu    sync.Mutex
 	reads int
-	// silent is closed when a read meets silence.
+	// silent is closed when a read gets no answer.
 	silent chan struct{}
 }
 
@@ -83,8 +83,8 @@
 
 func (s *outStore) PutNodes(context.Context, []peer.Info) error { return nil }
 
-// TestFollowNodes checks that a coordinator finds routers, agents and figures after reads that failed, and that
-// a store which falls silent later takes nothing of that away.
+// TestFollowNodes checks that a coordinator finds routers, agents and engine parameters after
+// failed reads, and that it keeps them when the store stops answering.
 func TestFollowNodes(t *testing.T) {
 	s := &outStore{
 		failures: 1, silent: make(chan struct{}),
@@ -124,15 +124,16 @@
 	<-done
 }
 
-// endedEngine is an engine at whose address nobody listens any more.
+// endedEngine is an engine at whose address nothing listens any more.
 type endedEngine struct{ services.RankEngine }
 
 func (endedEngine) Status(context.Context) (services.RankStatus, error) {
 	return services.RankStatus{}, fmt.Errorf("engine e: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)})
 }
 
-// TestEngineEnded checks that a group is told as broken as soon as an engine of it has ended: the other ranks say so only after they have
-// waited for it, and what routers send them meanwhile is lost time for its callers. It is open again once the rank answers.
+// TestEngineEnded checks that a group is reported as broken as soon as one of its engines has
+// ended: the other ranks report it only after they have waited for it, and requests that routers
+// send meanwhile are delayed. The group is open again once the rank answers.
 func TestEngineEnded(t *testing.T) {
 	a := New(begin, Options{Logger: zerolog.Nop(), Engine: endedEngine{}})
 	var r Reply
@@ -157,7 +158,7 @@
 	for _, s := range steps {
 		sent := begin.Add(s.after)
 		if s.reply != nil {
-			c.take(sent, n, *s.reply)
+			c.record(sent, n, *s.reply)
 		} else {
 			c.noteEnded(sent, n)
 		}
--- a/services/rank/order.go
+++ b/services/rank/order.go
@@ -16,34 +16,34 @@
 // Order is a coordinator's order.
 type Order struct {
 	Lead election.Lead
-	// Start is that of the agent that the order is for. One that has started anew takes no order to prepare: it would
-	// take a part in a change that it knows nothing else of.
+	// Start identifies the start of the agent that the order is for. An agent that has restarted
+	// accepts no order to prepare: it would take part in a change of which it has no other record.
 	Start Start
 	Order services.RankOrder
-	// Change stands for the map of an order to prepare, for an agent that has the map it goes on from. Deal describes that
-	// map if it is the one that engines start with.
+	// Change replaces the map of an order to prepare, for an agent that has the base map. Deal
+	// describes the base map if it is the one that engines start with.
 	Change *expertmap.Change
 	Deal   *expertmap.Deal
 }
 
-// OrderReply tells what became of an order.
+// OrderReply is the result of an order.
 type OrderReply struct {
 	Answer services.RankAnswer
-	// NoBase says that the agent does not have the map that the change goes on from: nothing was done.
+	// NoBase reports whether the agent lacks the base map of the change: nothing was done.
 	NoBase bool
 }
 
 // Order carries out an order of a coordinator.
 func (p *API) Order(o Order, r *OrderReply) error {
-	heard := p.a.listen(clock.Now(), o.Lead)
+	got := p.a.classify(clock.Now(), o.Lead)
 	switch {
-	case heard == unplaced:
+	case got == unplaced:
 		r.Answer = services.RankUnknown // the engine does not answer
 		return nil
-	case heard == foreign:
+	case got == foreign:
 		r.Answer = services.RankConflict
 		return nil
-	case heard == deposed:
+	case got == deposed:
 		r.Answer = services.RankFenced
 		return nil
 	case o.Order.Kind == services.RankAnnounce:
@@ -53,7 +53,7 @@
 		r.Answer = services.RankUnknown
 		return nil
 	}
-	if r.NoBase = !p.a.whole(&o); r.NoBase {
+	if r.NoBase = !p.a.complete(&o); r.NoBase {
 		r.Answer = services.RankUnknown
 		return nil
 	}
@@ -61,19 +61,20 @@
 	return nil
 }
 
-// order gives an order to the engine on the same VM, and again if there is no answer: each order holds
-// once, however often it is given under one fence. Loading is done when its experts are there.
+// order sends an order to the engine on the same VM, with retries if there is no answer: an order
+// takes effect once, however often it is sent under one fence. An order to prepare is done when its
+// experts are loaded.
 func (a *Agent) order(o services.RankOrder) services.RankAnswer {
-	answer := a.giveOrder(o)
+	answer := a.sendOrder(o)
 	if o.Kind == services.RankPrepare && answer == services.RankDone {
 		return a.awaitLoaded(o)
 	}
 	return answer
 }
 
-// giveOrder is order without the wait for what is loaded.
-func (a *Agent) giveOrder(o services.RankOrder) services.RankAnswer {
-	answer := giveAgain(orderTime, orderTries, func(limit time.Duration) services.RankAnswer { return a.orderOnce(o, limit) })
+// sendOrder is order without the wait for the loading.
+func (a *Agent) sendOrder(o services.RankOrder) services.RankAnswer {
+	answer := sendWithRetry(orderTimeout, orderTries, func(limit time.Duration) services.RankAnswer { return a.orderOnce(o, limit) })
 	if o.Kind == services.RankPrepare && answer == services.RankDone {
 		a.mu.Lock()
 		a.notes.Prepared = max(a.notes.Prepared, o.Version)
@@ -82,18 +83,19 @@
 	return answer
 }
 
-// giveAgain gives an order until there is an answer, a number of times at most. The first try ends after a time, each
-// further one gets a quarter more.
-func giveAgain(first time.Duration, tries int, give func(limit time.Duration) services.RankAnswer) services.RankAnswer {
+// sendWithRetry sends an order until there is an answer, a number of times at most. The first
+// attempt ends after the given time, each retry gets a quarter more.
+func sendWithRetry(first time.Duration, tries int, send func(limit time.Duration) services.RankAnswer) services.RankAnswer {
 	answer := services.RankUnknown
 	for try, limit := 0, first; try < tries && answer == services.RankUnknown; try, limit = try+1, limit*5/4 {
-		answer = give(limit)
+		answer = send(limit)
 	}
 	return answer
 }
 
-// announce notes that a coordinator is about to arm its own rank. Only one is heard that no later one has followed, and
-// only of a change that this agent has had a part in: after a start it remembers nothing of what it has told others.
+// announce records that a coordinator is about to arm its own rank. It accepts only a coordinator
+// without a known successor, and only a change that this agent has taken part in: after a start it
+// has no record of what it has reported to others.
 func (a *Agent) announce(au election.Authority, v expertmap.Version) services.RankAnswer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -120,7 +122,7 @@
 
 // awaitLoaded waits until the engine has loaded the experts of a map.
 func (a *Agent) awaitLoaded(o services.RankOrder) services.RankAnswer {
-	for end := clock.Now().Add(loadTime); clock.Now().Before(end); time.Sleep(loadTick) {
+	for end := clock.Now().Add(loadTimeout); clock.Now().Before(end); time.Sleep(loadPollInterval) {
 		var r Reply
 		if err := a.status(Ask{}, &r); err != nil {
 			continue // the engine is asked again until the end
@@ -135,16 +137,16 @@
 	return services.RankUnknown
 }
 
-// whole completes an order to prepare that came as a change, and keeps its map for the next change. It reports
-// whether the order is whole.
-func (a *Agent) whole(o *Order) bool {
+// complete fills in the map of an order to prepare that arrived as a change, and keeps the map for
+// the next change. It reports whether the order is complete.
+func (a *Agent) complete(o *Order) bool {
 	if o.Order.Kind != services.RankPrepare {
 		return true
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if o.Change != nil {
-		base, ok := a.maps.of(o.Change.Base)
+		base, ok := a.maps.find(o.Change.Base)
 		if !ok && o.Deal != nil {
 			base, ok = o.Deal.Map(), true
 		}
@@ -161,7 +163,8 @@
 	return true
 }
 
-// keptMaps is the number of maps that an agent keeps: the one in use, and one that may not have come into use.
+// keptMaps is the number of maps that an agent keeps: the one in use, and one that may not have
+// come into use.
 const keptMaps = 2
 
 // preparedMaps holds the latest maps that an agent was ordered to prepare, the latest first.
@@ -177,7 +180,7 @@
 	*p = kept
 }
 
-func (p preparedMaps) of(v expertmap.Version) (*expertmap.Map, bool) {
+func (p preparedMaps) find(v expertmap.Version) (*expertmap.Map, bool) {
 	for _, m := range p {
 		if m.Version == v {
 			return m, true
--- a/services/rank/order_test.go
+++ b/services/rank/order_test.go
@@ -27,8 +27,8 @@
 	return e.engine.Order(ctx, o)
 }
 
-// TestOrderInChanges sends maps as changes to an agent: its engine gets the whole map, or nothing if the agent
-// does not have the map that the change goes on from.
+// TestOrderInChanges sends maps as changes to an agent: its engine must get the complete map, or
+// nothing if the agent lacks the base map of the change.
 func TestOrderInChanges(t *testing.T) {
 	e := &mapEngine{}
 	api := NewAPI(New(begin, Options{Engine: e, Logger: zerolog.Nop()}))
@@ -38,8 +38,8 @@
 	d := &driver{c: &coordinator{own: lead(1)}}
 	give := func(m, base *expertmap.Map) OrderReply {
 		t.Helper()
-		d.goOnFrom(base, m)
-		o := d.inChanges(api.a.start, services.RankOrder{Kind: services.RankPrepare, Version: m.Version, Layers: m.Layers})
+		d.setBase(base, m)
+		o := d.asChange(api.a.start, services.RankOrder{Kind: services.RankPrepare, Version: m.Version, Layers: m.Layers})
 		if whole := o.Order.Layers != nil; whole != (base.Version == 0) {
 			t.Errorf("version %d sent whole: %t", m.Version, whole)
 		}
@@ -75,13 +75,14 @@
 	}
 }
 
-// TestAnnounce checks when an agent notes that a coordinator is about to arm its own rank, and what it tells of it.
+// TestAnnounce checks when an agent records that a coordinator is about to arm its own rank, and
+// what it reports of that.
 func TestAnnounce(t *testing.T) {
 	const version expertmap.Version = 1 << 20
 	cases := map[string]struct {
 		then func(t *testing.T, api *API) *API
 		want services.RankAnswer
-		// noted is what a later coordinator is told.
+		// noted is what is reported to a later coordinator.
 		noted services.RankNotes
 	}{
 		"after the change was prepared": {want: services.RankDone, noted: services.RankNotes{Prepared: version, Announced: version}},
--- a/services/rank/parts.go
+++ b/services/rank/parts.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	// fewAgents is the number of agents up to which a coordinator speaks to each itself. A call takes it about a tenth of
-	// a millisecond: 32 of them, fourteen times a second, are a fifth of a quarter of a core.
-	fewAgents = 32
-	// relayRest is how long an agent that did not answer for its part is not asked to do so again.
-	relayRest = 2 * time.Second
+	// maxDirectAgents is the number of agents up to which a coordinator calls each itself. A call
+	// costs it about a tenth of a millisecond: 32 of them, fourteen times a second, are a fifth of
+	// a quarter of a core.
+	maxDirectAgents = 32
+	// relayBackoff is how long an agent that failed to answer for its part is not used as a relay.
+	relayBackoff = 2 * time.Second
 )
 
-// part is some agents of one data centre. Where there are many agents, a coordinator speaks to one agent of each part,
-// the relay, which speaks to the others.
+// part is a set of agents of one data centre. Where there are many agents, a coordinator calls one
+// agent of each part, the relay, which calls the others.
 type part []peer.Info
 
-// split parts agents: into as many parts as each has agents, so that neither the coordinator nor a relay has many to
-// speak to. Few agents are parts by themselves.
+// split divides agents into about as many parts as each has agents, so that neither the coordinator
+// nor a relay has many to call. Up to maxDirectAgents agents are parts by themselves.
 func split(agents []peer.Info) []part {
-	if len(agents) <= fewAgents {
+	if len(agents) <= maxDirectAgents {
 		return singles(agents)
 	}
 	sorted := slices.SortedFunc(slices.Values(agents), func(a, b peer.Info) int {
 		return cmp.Or(cmp.Compare(a.DataCentre, b.DataCentre), cmp.Compare(a.Name, b.Name))
 	})
-	most := int(math.Ceil(math.Sqrt(float64(len(agents)))))
+	maxSize := int(math.Ceil(math.Sqrt(float64(len(agents)))))
 	var parts []part
-	for _, near := range byDataCentre(sorted) {
-		n := (len(near) + most - 1) / most
+	for _, local := range byDataCentre(sorted) {
+		n := (len(local) + maxSize - 1) / maxSize
 		for i := range n {
-			parts = append(parts, part(near[i*len(near)/n:(i+1)*len(near)/n]))
+			parts = append(parts, part(local[i*len(local)/n:(i+1)*len(local)/n]))
 		}
 	}
 	return parts
@@ -52,7 +53,7 @@
 	return out
 }
 
-// byDataCentre parts agents that are sorted by data centre.
+// byDataCentre splits agents that are sorted by data centre.
 func byDataCentre(sorted []peer.Info) [][]peer.Info {
 	var out [][]peer.Info
 	for begin, i := 0, 0; i < len(sorted); i++ {
@@ -64,10 +65,10 @@
 	return out
 }
 
-// relay returns the agent that speaks to the others of a part: the first that has not failed to lately.
+// relay returns the agent that calls the others of a part: the first that has not failed recently.
 func (p part) relay(now time.Time, failed map[string]time.Time) (peer.Info, bool) {
 	for _, n := range p {
-		if at, ok := failed[n.Name]; !ok || now.Sub(at) > relayRest {
+		if at, ok := failed[n.Name]; !ok || now.Sub(at) > relayBackoff {
 			return n, true
 		}
 	}
--- a/services/rank/plan_bench_test.go
+++ b/services/rank/plan_bench_test.go
@@ -12,8 +12,9 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// BenchmarkPlan measures what a coordinator computes in a look: counts of all ranks taken in, and a plan after a shift of demand. A
-// coordinator has a quarter of a core, and a look each 70 ms.
+// BenchmarkPlan measures the computation of a coordinator in a poll round: processing the counts of
+// all ranks, and planning after a shift of demand. A coordinator has a quarter of a core, and a
+// round every 70 ms.
 func BenchmarkPlan(b *testing.B) {
 	sizes := []struct{ ranks, layers, experts, places int }{{12, 4, 72, 8}, {24, 16, 96, 5}, {63, 8, 252, 5}, {129, 16, 258, 3}}
 	for _, s := range sizes {
--- a/services/rank/planner.go
+++ b/services/rank/planner.go
@@ -16,29 +16,32 @@
 )
 
 const (
-	// enoughSkew is the skew up to which a layer is left alone when passes are long, and restSkew when
-	// they are short.
-	enoughSkew = 1.1
-	restSkew   = 1.3
-	// restPart is the part of the pause goal up to which a pass is short: a shift of demand about doubles it.
-	restPart = 0.5
-	// gigabyteTime is the time of the group that a loaded gigabyte must save: moved experts are paid for. Found on the
-	// users' first two deployments, where it makes 0.016 of a layer's time for an expert of 2.2 GB.
+	// targetSkew is the skew up to which a layer is left alone when passes are long, and
+	// relaxedSkew when they are short.
+	targetSkew  = 1.1
+	relaxedSkew = 1.3
+	// shortPassFraction is the fraction of the pause goal up to which a pass is short: a shift of
+	// demand about doubles it.
+	shortPassFraction = 0.5
+	// gigabyteTime is the time of the group that a loaded gigabyte must save, as moved experts are
+	// paid for. On the users' first two deployments it makes 0.016 of a layer's time for an expert
+	// of 2.2 GB.
 	gigabyteTime = 3 * time.Millisecond
 	// holdTime is about how long a change holds the group.
 	holdTime = 10 * time.Millisecond
-	// payback is how many times the time that a change costs it must save until demand shifts again: the answer to a
-	// shift that comes meanwhile is late by the change.
+	// payback is how many times its own time cost a change must save until demand shifts again: the
+	// response to a shift that occurs meanwhile is delayed by the change.
 	payback = 2.0
-	// changeTime is the time that the loading for one change should take: the first relief after a shift of demand
-	// comes so much later. A rank loads as many experts for a change as fit into it, one at least.
+	// changeTime is the target for the loading time of one change: it delays the first relief after
+	// a shift of demand. A rank loads as many experts for a change as fit into it, at least one.
 	changeTime = 200 * time.Millisecond
-	// layerPart is the part of them that may be of one layer.
-	layerPart = 0.5
-	// usualLoad is the time of a load that is reckoned with while neither the engine's figures nor a load tell.
-	usualLoad = 100 * time.Millisecond
-	// loadKeep is the weight of the past in the observed time of a load.
-	loadKeep = 0.7
+	// layerFraction is the fraction of them that may be of one layer.
+	layerFraction = 0.5
+	// defaultLoadTime is the assumed time of a load while neither the engine's parameters nor an
+	// observed load give it.
+	defaultLoadTime = 100 * time.Millisecond
+	// loadDecay is the weight of the past in the observed time of a load.
+	loadDecay = 0.7
 	// retryAfter is the pause after a change that failed.
 	retryAfter = 200 * time.Millisecond
 )
@@ -46,37 +49,38 @@
 // planner decides which map a group should have. It does no I/O and reads no clock.
 type planner struct {
 	engine *catalog.Engine
-	// goal is the longest pause between two events of a stream; 0 if none is given.
+	// goal is the longest acceptable pause between two events of a stream; 0 if none is set.
 	goal    time.Duration
 	epoch   services.Epoch
 	current *expertmap.Map
 	demand  *demand
 	// load is the time in which a rank loads an expert.
 	load time.Duration
-	// plannedAt is when the latest change was planned; no new one is before pauseTo.
-	plannedAt, pauseTo time.Time
-	// skew is that of the map in use under recent demand, and moves the loads of the latest plan. Most is the
-	// number of them at the rank with the most.
-	skew        float64
-	moves, most int
+	// plannedAt is when the latest change was planned; no new one is planned before pausedUntil.
+	plannedAt, pausedUntil time.Time
+	// skew is that of the map in use under recent demand, and moves the number of loads of the
+	// latest plan. maxLoads is their number at the rank with the most.
+	skew            float64
+	moves, maxLoads int
 }
 
 func newPlanner(e *catalog.Engine, goal time.Duration, epoch services.Epoch, current *expertmap.Map) *planner {
 	p := &planner{engine: e, goal: goal, epoch: epoch, current: current, demand: newDemand(e.Layers, e.Experts), load: e.LoadTime}
 	if p.load <= 0 {
-		p.load = usualLoad
+		p.load = defaultLoadTime
 	}
 	return p
 }
 
-// enoughFor returns the skew up to which a layer is left alone when a rank writes so many streams.
-func (p *planner) enoughFor(writers float64) float64 {
+// acceptableSkew returns the skew up to which a layer is left alone when a rank has the given mean
+// number of streams.
+func (p *planner) acceptableSkew(writers float64) float64 {
 	if p.goal == 0 {
-		return enoughSkew
+		return targetSkew
 	}
-	within := time.Duration(restPart * float64(p.goal))
-	load := balance.PassLoad{Mean: writers, Max: writers, Context: p.engine.UsualPrompt, Reading: p.engine.UsualPrompt, Skew: restSkew}
-	for load.Skew > enoughSkew && balance.Pass(p.engine, load) > within {
+	within := time.Duration(shortPassFraction * float64(p.goal))
+	load := balance.PassLoad{Mean: writers, Max: writers, Context: p.engine.UsualPrompt, Reading: p.engine.UsualPrompt, Skew: relaxedSkew}
+	for load.Skew > targetSkew && balance.Pass(p.engine, load) > within {
 		load.Skew -= skewStep
 	}
 	return load.Skew
@@ -85,22 +89,22 @@
 // skewStep is the step in which an acceptable skew is searched for.
 const skewStep = 0.05
 
-// watch takes in new counts.
+// watch adds new counts.
 func (p *planner) watch(now time.Time, counts []services.RankCounts) { p.demand.count(now, counts) }
 
-// plan returns a better map for the relative speed of each rank and the streams that a rank writes on average,
-// or nil if none pays.
+// plan returns a better map for the relative speed of each rank and the mean number of streams per
+// rank, or nil if none pays.
 func (p *planner) plan(now time.Time, speed []float64, writers float64) (*expertmap.Map, error) {
-	if !p.demand.enough() || now.Before(p.pauseTo) {
+	if !p.demand.enough() || now.Before(p.pausedUntil) {
 		return nil, nil
 	}
 	perSkew := p.perSkew(writers)
-	lasts := p.demand.lasts(now)
+	lasts := p.demand.expectedDuration(now)
 	res, err := placement.Decide(p.current, p.demand.smooth(), speed, placement.Policy{
-		Price: p.price(perSkew, lasts), MaxMoves: math.MaxInt32, MaxFresh: min(p.engine.MaxFresh, p.loads(layerPart)), MaxRank: p.loads(1), Enough: p.enoughFor(writers),
+		Price: p.price(perSkew, lasts), MaxMoves: math.MaxInt32, MaxFresh: min(p.engine.MaxFresh, p.loads(layerFraction)), MaxRank: p.loads(1), Enough: p.acceptableSkew(writers),
 	}, nil)
 	if err != nil {
-		p.pauseTo = now.Add(retryAfter)
+		p.pausedUntil = now.Add(retryAfter)
 		return nil, fmt.Errorf("plan a map: %w", err)
 	}
 	p.skew, p.moves = res.Before, res.Moves
@@ -111,21 +115,21 @@
 	for r := range speed {
 		most = max(most, res.Map.Loads(p.current, r))
 	}
-	if res.Before-res.After < p.leastGain(perSkew, lasts, most) {
+	if res.Before-res.After < p.minGain(perSkew, lasts, most) {
 		return nil, nil
 	}
-	p.most = most
-	p.plannedAt, p.pauseTo = now, now.Add(retryAfter)
+	p.maxLoads = most
+	p.plannedAt, p.pausedUntil = now, now.Add(retryAfter)
 	return res.Map, nil
 }
 
-// perSkew returns the part of a pass by which it gets shorter when the skew falls by one.
+// perSkew returns the fraction by which a pass gets shorter when the skew falls by one.
 func (p *planner) perSkew(writers float64) float64 {
 	at := func(skew float64) float64 {
 		load := balance.PassLoad{Mean: writers, Max: writers, Context: p.engine.UsualPrompt, Reading: p.engine.UsualPrompt, Skew: skew}
 		return balance.Pass(p.engine, load).Seconds()
 	}
-	return (at(restSkew) - at(1)) / (restSkew - 1) / at(restSkew)
+	return (at(relaxedSkew) - at(1)) / (relaxedSkew - 1) / at(relaxedSkew)
 }
 
 // price returns the fall of a layer's skew that one loaded expert must bring.
@@ -134,39 +138,39 @@
 	return cost * float64(p.engine.Layers) / (perSkew * lasts.Seconds())
 }
 
-// leastGain returns the fall of the mean skew that a change must bring for which a rank loads so many experts. On
-// average half of the time between two shifts is left.
-func (p *planner) leastGain(perSkew float64, lasts time.Duration, most int) float64 {
+// minGain returns the fall of the mean skew that a change must bring for which a rank loads up to
+// the given number of experts. On average half of the time between two shifts is left.
+func (p *planner) minGain(perSkew float64, lasts time.Duration, most int) float64 {
 	cost := holdTime + time.Duration((balance.CopySlowdown-1)*float64(most)*float64(p.load))
 	return payback * cost.Seconds() / (perSkew * lasts.Seconds() / 2)
 }
 
-// loads returns how many experts a rank loads in a part of the time of a change, one at least.
-func (p *planner) loads(part float64) int {
-	return max(1, int(math.Round(part*float64(changeTime)/float64(p.load))))
+// loads returns how many experts a rank loads in a fraction of the time of a change, at least one.
+func (p *planner) loads(fraction float64) int {
+	return max(1, int(math.Round(fraction*float64(changeTime)/float64(p.load))))
 }
 
-// outdated reports whether demand has shifted since the latest change was planned, and so early that its experts
-// are still to be loaded for longer than a moment.
+// outdated reports whether demand has shifted since the latest change was planned, and the loading
+// of its experts still takes longer than the given moment.
 func (p *planner) outdated(now time.Time, moment time.Duration) bool {
-	loaded := p.plannedAt.Add(time.Duration(p.most) * p.load)
+	loaded := p.plannedAt.Add(time.Duration(p.maxLoads) * p.load)
 	return p.demand.shiftedAt.After(p.plannedAt) && loaded.Sub(now) > moment
 }
 
-// ended notes how a change to a map ended.
+// ended records how a change to a map ended.
 func (p *planner) ended(m *expertmap.Map, done bool) {
 	if done {
 		p.current = m
-		p.pauseTo = time.Time{}
+		p.pausedUntil = time.Time{}
 	}
 }
 
-// gaveUp notes that the latest change was given up for a better one.
-func (p *planner) gaveUp() { p.pauseTo = time.Time{} }
+// abandoned records that the latest change was abandoned for a better one.
+func (p *planner) abandoned() { p.pausedUntil = time.Time{} }
 
-// loaded notes how long the loading for the latest change took.
+// loaded records how long the loading for the latest change took.
 func (p *planner) loaded(took time.Duration) {
-	if p.most > 0 {
-		p.load = time.Duration(loadKeep*float64(p.load) + (1-loadKeep)*float64(took)/float64(p.most))
+	if p.maxLoads > 0 {
+		p.load = time.Duration(loadDecay*float64(p.load) + (1-loadDecay)*float64(took)/float64(p.maxLoads))
 	}
 }
--- a/services/rank/rank_test.go
+++ b/services/rank/rank_test.go
@@ -25,7 +25,7 @@
 
 var begin = time.Unix(1000, 0)
 
-// lead returns what a coordinator of an authority tells.
+// lead returns the announcement of a coordinator with an authority.
 func lead(a election.Authority) election.Lead {
 	return election.Lead{Group: "g", Authority: a, Lease: time.Second}
 }
@@ -37,14 +37,14 @@
 	return l
 }
 
-// engine is a rank's engine that leaves the first orders of each kind without an answer. Its group is g unless its status
-// names another.
+// engine is a rank's engine that does not answer the first orders of each kind. Its group is g
+// unless its status names another.
 type engine struct {
 	mu     sync.Mutex
 	status services.RankStatus
 	silent int
 	orders []services.RankOrderKind
-	// loads is the number of questions after which the experts are there.
+	// loads is the number of status requests after which the experts are loaded.
 	loads int
 }
 
@@ -75,8 +75,8 @@
 	return services.RankDone, nil
 }
 
-// TestOrder checks that an agent gives an order again that had no answer, and answers for loading only
-// when the experts are there.
+// TestOrder checks that an agent retries an order without an answer, and answers an order to
+// prepare only when the experts are loaded.
 func TestOrder(t *testing.T) {
 	cases := map[string]struct {
 		engine *engine
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestAuthority checks that an agent serves the highest authority only.
+// TestAuthority checks that an agent answers the highest authority only.
 func TestAuthority(t *testing.T) {
 	e := &engine{}
 	api := NewAPI(New(begin, Options{Engine: e, Logger: zerolog.Nop()}))
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestOtherGroups checks that an agent takes nothing from the coordinator of another group, also when that is the first to
-// call: it asks its engine first.
+// TestOtherGroups checks that an agent accepts nothing from the coordinator of another group, also
+// when that is the first to call: it asks its engine first.
 func TestOtherGroups(t *testing.T) {
 	e := &engine{status: services.RankStatus{Group: "b"}}
 	other := New(begin, Options{Engine: e, Logger: zerolog.Nop()})
@@ -141,7 +141,7 @@
 	if err := api.Status(Ask{Lead: leadOf("b", 1)}, &told); err != nil || told.Foreign || told.Authority != 1 {
 		t.Errorf("the own coordinator was refused: %v", err)
 	}
-	if other.follows(LeadReply{Led: true, Lead: leadOf("a", 5)}) || other.highest() != 1 {
+	if other.accept(LeadReply{Led: true, Lead: leadOf("a", 5)}) || other.highest() != 1 {
 		t.Error("the coordinator of another group was followed")
 	}
 	var led LeadReply
@@ -150,15 +150,15 @@
 	}
 }
 
-// TestBornAgain checks that an agent forgets what it noted for an engine that has started again, that counts which begin anew are
-// told whole, and that what the engine said before comes too late.
+// TestBornAgain checks that an agent discards its notes for an engine that has restarted, that
+// restarted counts are sent in full, and that late answers of the earlier run are rejected.
 func TestBornAgain(t *testing.T) {
 	e := &engine{status: services.RankStatus{Group: "g", Born: 100, Epoch: 1, Size: 2}}
 	a := New(begin, Options{Engine: e, Logger: zerolog.Nop()})
 	a.order(services.RankOrder{Kind: services.RankArm})
 	a.notes = services.RankNotes{Prepared: 7, Announced: 7}
 	a.maps.keep(&expertmap.Map{Version: 7})
-	if a.place(); a.groupOf() != "g" {
+	if a.readGroup(); a.groupOf() != "g" {
 		t.Fatal("the engine does not tell")
 	}
 	if a.notes = (services.RankNotes{Prepared: 7, Announced: 7}); len(a.maps) != 0 {
@@ -173,9 +173,9 @@
 	if err := a.status(Ask{}, &r); err == nil {
 		t.Error("an answer of the run before was taken")
 	}
-	var first tally
-	first.tell(0, services.RankCounts{Born: 100, Epoch: 1, Counts: []uint64{1, 2}})
-	if part := first.tell(first.number, services.RankCounts{Born: 200, Epoch: 1, Counts: []uint64{5, 6}}); part.Since != 0 || part.Counts[0] != 5 || part.Born != 200 {
+	var first countSender
+	first.delta(0, services.RankCounts{Born: 100, Epoch: 1, Counts: []uint64{1, 2}})
+	if part := first.delta(first.number, services.RankCounts{Born: 200, Epoch: 1, Counts: []uint64{5, 6}}); part.Since != 0 || part.Counts[0] != 5 || part.Born != 200 {
 		t.Errorf("counts of another run told as a difference: %+v", part)
 	}
 	held := heldCounts{number: 3, RankCounts: services.RankCounts{Born: 100, Counts: []uint64{1}}}
@@ -191,19 +191,19 @@
 	}
 }
 
-// TestTakeBornAgain checks that a coordinator takes no status of an earlier run of an engine.
+// TestTakeBornAgain checks that a coordinator accepts no status of an earlier run of an engine.
 func TestTakeBornAgain(t *testing.T) {
 	c := newCoordinator(New(begin, Options{Logger: zerolog.Nop()}), lead(1), services.RankStatus{Group: "g", Size: 1})
 	status := func(born upstream.Born, step group.Step) Reply {
 		return Reply{Status: services.RankStatus{Group: "g", Size: 1, Born: born, Step: step}}
 	}
 	n := peer.Info{Name: "side-1", Engine: "e"}
-	c.take(begin, n, status(200, 1))
-	c.take(begin.Add(time.Second), n, status(100, 99))
+	c.record(begin, n, status(200, 1))
+	c.record(begin.Add(time.Second), n, status(100, 99))
 	if got := c.members[0].status; got.Born != 200 || got.Step != 1 {
 		t.Errorf("taken: %+v", got)
 	}
-	c.take(begin.Add(2*time.Second), peer.Info{Name: "side-2", Engine: "f"}, status(100, 5))
+	c.record(begin.Add(2*time.Second), peer.Info{Name: "side-2", Engine: "f"}, status(100, 5))
 	if got := c.members[0].status; got.Born != 100 {
 		t.Errorf("another engine has the rank now, taken: %+v", got)
 	}
@@ -216,7 +216,7 @@
 	Layers: 2, Experts: 12, Places: 4, MaxFresh: 3, ExpertShare: 0.85,
 }
 
-// firstMap deals the experts out in turn and leaves one place of each rank free.
+// firstMap distributes the experts in rotation and leaves one slot of each rank free.
 func firstMap(ranks int) *expertmap.Map {
 	m := &expertmap.Map{Layers: make([]expertmap.Layer, figures.Layers)}
 	for l := range m.Layers {
@@ -231,12 +231,13 @@
 	return m
 }
 
-// counted returns the counts of each rank after demand in which one expert has a part of all choices.
-func counted(ranks, looks int, hot func(look int) int, part float64) []services.RankCounts {
+// counted returns the counts of each rank after demand in which one expert has a fraction of all
+// choices.
+func counted(ranks, rounds int, hot func(look int) int, part float64) []services.RankCounts {
 	out := make([]services.RankCounts, ranks)
 	for r := range out {
 		out[r].Counts = make([]uint64, figures.Layers*figures.Experts)
-		for look := range looks {
+		for look := range rounds {
 			for i := range out[r].Counts {
 				n := (1 - part) * 1200 / float64(figures.Experts)
 				if i%figures.Experts == hot(look) {
@@ -249,7 +250,7 @@
 	return out
 }
 
-// TestPlanner checks when a map is changed, and what for.
+// TestPlanner checks when a map is changed, and for what reason.
 func TestPlanner(t *testing.T) {
 	const ranks = 4
 	even := []float64{1, 1, 1, 1}
@@ -299,8 +300,8 @@
 	}
 }
 
-// TestWaits checks that a coordinator does not take its own change, whose pass is still to begin, for
-// something that an earlier one has left.
+// TestWaits checks that a coordinator does not mistake its own change, whose pass is still to
+// begin, for one that an earlier coordinator has left unfinished.
 func TestWaits(t *testing.T) {
 	status := func(armed, used expertmap.Version) services.RankStatus {
 		return services.RankStatus{Armed: armed, Map: used, Rank: group.Rank(0)}
@@ -309,7 +310,7 @@
 		status  []services.RankStatus
 		waits   bool
 		pending expertmap.Version
-		// old is the rank that was asked before all were armed; 0 for none.
+		// old is the rank whose status was requested before all were armed; 0 for none.
 		old int
 	}{
 		"all are armed":              {[]services.RankStatus{status(7, 6), status(7, 6)}, true, 7, 0},
@@ -325,7 +326,7 @@
 			if c.old > 0 {
 				co.members[c.old].sent = begin.Add(-time.Millisecond)
 			}
-			if got := co.waits(c.status); got != c.waits || co.pending != c.pending {
+			if got := co.awaitsPass(c.status); got != c.waits || co.pending != c.pending {
 				t.Errorf("waits %t, pending %d", got, co.pending)
 			}
 		})
@@ -369,8 +370,9 @@
 	}
 }
 
-// TestFences checks that the fences and versions of any two claims are told apart, and those of a later claim are above all of an earlier
-// one, also where the store has come back from a copy and gives the same offset out again.
+// TestFences checks that the fences and versions of any two claims differ, and that those of a
+// later claim are above all of an earlier one, also where the store was restored from a copy and
+// assigns the same offset again.
 func TestFences(t *testing.T) {
 	at := func(era services.Era, o services.Offset) services.Place { return services.Place{Era: era, Offset: o} }
 	claims := []services.Place{at(0, 1), at(0, 2), at(0, 1<<20-1), at(1, 1), at(1, 7), at(2, 1), at(2, 7), at(2, 8), at(2047, 1)}
--- a/services/rank/surroundings.go
+++ b/services/rank/surroundings.go
@@ -17,25 +17,28 @@
 	"fawnwinch.org/fawnwinch/services/peer"
 )
 
-// surroundings is what a coordinator has read in the store: the other processes, and the figures of its engine.
-type surroundings struct {
+// clusterView is what a coordinator has read from the store: the other processes, and the
+// parameters of its engine.
+type clusterView struct {
 	// at is when the processes were read, and era that of the store then.
 	at              time.Time
 	era             services.Era
 	routers, agents []peer.Info
-	// listed says that this process is among them.
+	// listed reports whether this process is among them.
 	listed bool
-	// lost holds those agents that the store has listed before it came back from a copy, and not since.
-	lost   []peer.Info
-	engine *catalog.Engine
+	// unlisted holds the agents that the store listed before it was restored from a copy, and not
+	// since.
+	unlisted []peer.Info
+	engine   *catalog.Engine
 	// goal is the shortest pause goal of the routes to the service; 0 if there is none.
 	goal time.Duration
 }
 
-// followNodes reads the processes in an interval until ctx ends, after a failure and while agents of ranks are missing
-// sooner, and hands over what it finds. The store may be slow or away for long, so nothing else waits for it.
+// followNodes reads the processes at an interval until ctx ends, sooner after a failure and while
+// agents of ranks are missing, and publishes what it finds. The store may be slow or unavailable
+// for long, so nothing else waits for it.
 func (c *coordinator) followNodes(ctx context.Context, every, afterFailure time.Duration) {
-	var s surroundings
+	var s clusterView
 	if found := c.found.Load(); found != nil {
 		s = *found
 	}
@@ -55,17 +58,17 @@
 	}
 }
 
-// read reads the list of processes, unless that was done lately, and, once, the figures of the engine. It reports whether
-// the list is known.
-func (c *coordinator) read(ctx context.Context, s *surroundings) bool {
-	cctx, cancel := context.WithTimeout(ctx, claimTime)
+// read reads the list of processes, unless it was read recently, and, once, the parameters of the
+// engine. It reports whether the list is known.
+func (c *coordinator) read(ctx context.Context, s *clusterView) bool {
+	cctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	if now := clock.Now(); now.Sub(s.at) >= claimPause {
+	if now := clock.Now(); now.Sub(s.at) >= storeRetryInterval {
 		if err := s.readNodes(cctx, now, c.a.opts); err != nil {
 			c.logger.Warn().Err(err).Msg("nodes-unread")
 			return false
 		}
-		c.registerLost(cctx, s)
+		c.registerUnlisted(cctx, s)
 	}
 	if s.engine != nil {
 		return true
@@ -77,15 +80,16 @@
 	}
 	for _, k := range catalogs {
 		if k.Value != nil {
-			s.take(k.Value, c.service)
+			s.addCatalog(k.Value, c.service)
 		}
 	}
 	return true
 }
 
-// registerLost registers the agents that the store has lost, and this one, with one call. Those are led meanwhile all the same.
-func (c *coordinator) registerLost(ctx context.Context, s *surroundings) {
-	missing := slices.Clone(s.lost)
+// registerUnlisted registers the agents that the store has lost, and this one, with one call. Those
+// agents stay coordinated meanwhile.
+func (c *coordinator) registerUnlisted(ctx context.Context, s *clusterView) {
+	missing := slices.Clone(s.unlisted)
 	if !s.listed {
 		missing = append(missing, c.a.opts.Self)
 	}
@@ -99,14 +103,15 @@
 	c.logger.Info().Int("agents", len(missing)).Uint64("era", uint64(s.era)).Msg("agents-registered")
 }
 
-// readNodes reads the list of processes. Agents that were known before the store came back from a copy stay in it until they are listed
-// again, and routers until the next read: they register by themselves.
-func (s *surroundings) readNodes(ctx context.Context, now time.Time, o Options) error {
+// readNodes reads the list of processes. Agents that were known before the store was restored from
+// a copy stay in the view until they are listed again, and routers until the next read: they
+// register by themselves.
+func (s *clusterView) readNodes(ctx context.Context, now time.Time, o Options) error {
 	nodes, end, err := o.Store.Nodes().Snapshot(ctx)
 	if err != nil {
 		return fmt.Errorf("read processes: %w", err)
 	}
-	known, routers := s.lost, []peer.Info(nil)
+	known, routers := s.unlisted, []peer.Info(nil)
 	if end.Era > s.era {
 		known, routers = s.agents, s.routers
 	}
@@ -125,14 +130,14 @@
 		}
 	}
 	isListed := func(p peer.Info) bool { return listed[p.Name] }
-	s.lost = slices.DeleteFunc(slices.Clone(known), isListed)
-	s.agents = append(s.agents, s.lost...)
+	s.unlisted = slices.DeleteFunc(slices.Clone(known), isListed)
+	s.agents = append(s.agents, s.unlisted...)
 	s.routers = append(s.routers, slices.DeleteFunc(slices.Clone(routers), isListed)...)
 	return nil
 }
 
-// take keeps what the catalog says of a service.
-func (s *surroundings) take(k *catalog.Catalog, service string) {
+// addCatalog records the catalog's entries for a service.
+func (s *clusterView) addCatalog(k *catalog.Catalog, service string) {
 	for i := range k.Services {
 		if v := &k.Services[i]; string(v.ID) == service {
 			s.engine = v.Engine
--- a/services/rank/surroundings_test.go
+++ b/services/rank/surroundings_test.go
@@ -31,8 +31,8 @@
 	return out, services.Place{Era: n.era}.After(len(out)), nil
 }
 
-// TestNodesAfterReturn has the store come back without some processes: a coordinator goes on with the agents until they are listed again, and
-// with the routers until it reads the next time.
+// TestNodesAfterReturn has the store restored without some processes: a coordinator keeps the
+// agents until they are listed again, and the routers until its next read.
 func TestNodesAfterReturn(t *testing.T) {
 	agent := func(name string) peer.Info {
 		return peer.Info{Name: name, Role: vm.RoleAgent, Address: "at " + name, Service: "m"}
@@ -44,7 +44,7 @@
 	moved.Address = "elsewhere"
 	store := &nodeList{era: 1, nodes: []peer.Info{agent("a"), agent("b"), agent("c"), router("r"), router("s")}}
 	o := Options{Self: agent("a"), Store: store}
-	var s surroundings
+	var s clusterView
 	steps := []struct {
 		what                  string
 		era                   services.Era
@@ -63,7 +63,7 @@
 		if err := s.readNodes(t.Context(), begin, o); err != nil {
 			t.Fatal(err)
 		}
-		if a, r, l := addresses(s.agents), addresses(s.routers), addresses(s.lost); !slices.Equal(a, st.agents) || !slices.Equal(r, st.routers) || !slices.Equal(l, st.lost) || s.listed != st.listed {
+		if a, r, l := addresses(s.agents), addresses(s.routers), addresses(s.unlisted); !slices.Equal(a, st.agents) || !slices.Equal(r, st.routers) || !slices.Equal(l, st.lost) || s.listed != st.listed {
 			t.Errorf("%s: agents %q, routers %q, lost %q, listed %t; want %q, %q, %q, %t", st.what, a, r, l, s.listed, st.agents, st.routers, st.lost, st.listed)
 		}
 	}
--- a/services/rank/tell.go
+++ b/services/rank/tell.go
@@ -12,36 +12,38 @@
 	"fawnwinch.org/fawnwinch/services/balance"
 )
 
-// noteEvery is the time between two lines on the load of the group.
-const noteEvery = 500 * time.Millisecond
+// logInterval is the time between two log lines on the load of the group.
+const logInterval = 500 * time.Millisecond
 
-// missingAfter is how long a rank may be silent before its group counts as not whole; some looks.
+// missingAfter is how long a rank may be silent before its group is reported as incomplete; some
+// rounds.
 const missingAfter = 400 * time.Millisecond
 
-// note logs the load of the group from time to time.
-func (c *coordinator) note(now time.Time) {
-	if now.Sub(c.notedAt) < noteEvery {
+// logLoad logs the load of the group at intervals.
+func (c *coordinator) logLoad(now time.Time) {
+	if now.Sub(c.loggedAt) < logInterval {
 		return
 	}
-	var most, sum, waiting int
+	var fullest, sum, waiting int
 	var step group.Step
 	pace := 1.0
 	for _, m := range c.members {
-		most, sum, waiting = max(most, m.status.Running), sum+m.status.Running, waiting+m.status.Waiting
+		fullest, sum, waiting = max(fullest, m.status.Running), sum+m.status.Running, waiting+m.status.Waiting
 		step, pace = max(step, m.status.Step), max(pace, m.status.Pace)
 	}
 	pass := 0.0
-	if step > c.notedStep && !c.notedAt.IsZero() {
-		pass = now.Sub(c.notedAt).Seconds() * 1000 / float64(step-c.notedStep)
+	if step > c.loggedStep && !c.loggedAt.IsZero() {
+		pass = now.Sub(c.loggedAt).Seconds() * 1000 / float64(step-c.loggedStep)
 	}
 	skew := c.skew()
-	load := balance.PassLoad{Mean: float64(sum) / float64(len(c.members)), Max: float64(most), Skew: skew, Pace: pace}
-	c.logger.Info().Int("running", sum).Int("fullest", most).Int("waiting", waiting).Uint64("step", uint64(step)).
+	load := balance.PassLoad{Mean: float64(sum) / float64(len(c.members)), Max: float64(fullest), Skew: skew, Pace: pace}
+	c.logger.Info().Int("running", sum).Int("fullest", fullest).Int("waiting", waiting).Uint64("step", uint64(step)).
 		Float64("pass_ms", pass).Float64("forecast_ms", c.forecast(load)).Float64("skew", skew).Msg("group-load")
-	c.notedAt, c.notedStep = now, step
+	c.loggedAt, c.loggedStep = now, step
 }
 
-// forecast returns the length of a pass under a load in milliseconds, 0 while the engine's figures are not known.
+// forecast returns the length of a pass under a load in milliseconds, 0 while the engine's
+// parameters are not known.
 func (c *coordinator) forecast(l balance.PassLoad) float64 {
 	if c.engine == nil {
 		return 0
@@ -50,19 +52,19 @@
 	return balance.Pass(c.engine, l).Seconds() * 1000
 }
 
-// tellRouters tells routers the load of the group, and each of them what it may send.
-func (c *coordinator) tellRouters(ctx context.Context, now time.Time) {
+// reportToRouters sends routers the load of the group, and each of them its quota.
+func (c *coordinator) reportToRouters(ctx context.Context, now time.Time) {
 	g := c.load(now)
 	c.latest.Store(&g)
 	targets := c.book.Targets(now, c.routers)
-	number, places := c.book.Report(now, targets, g.Ranks, c.bounds(g))
+	number, slots := c.book.Report(now, targets, g.Ranks, c.bounds(g))
 	for _, n := range targets {
-		told := g
-		told.Places = places[n.Name]
-		report, list := c.book.Pack(n.Name, told)
+		routerLoad := g
+		routerLoad.Places = slots[n.Name]
+		report, list := c.book.Pack(n.Name, routerLoad)
 		report.Authority, report.Coordinator = uint64(c.own.Authority), c.a.opts.Self.Address
 		c.sending.Go(func() {
-			cctx, cancel := context.WithTimeout(ctx, reportTime)
+			cctx, cancel := context.WithTimeout(ctx, reportTimeout)
 			defer cancel()
 			var r balance.ReportReply
 			if err := c.a.opts.Pool.Call(cctx, n.Address, "Router.Report", report, &r); err != nil {
@@ -74,8 +76,9 @@
 	}
 }
 
-// Report tells a router the load of the group that this agent coordinates; the answer is empty if it coordinates none.
-// The router may judge by itself what to send until the next report, which tells it.
+// Report returns to a router the load of the group that this agent coordinates; the answer is empty
+// if it coordinates none. The router may decide by itself what to send until the next report, which
+// has its quota.
 func (p *API) Report(w balance.Want, r *balance.Report) error {
 	p.a.mu.Lock()
 	c := p.a.leading
@@ -92,16 +95,17 @@
 	return nil
 }
 
-// load returns the load of the group as it was last heard of.
+// load returns the latest known load of the group.
 func (c *coordinator) load(now time.Time) balance.Group {
 	g := balance.Group{Service: c.service, ID: c.first.Group, Open: true, Whole: true}
 	for _, m := range c.members {
 		if m.ended.After(m.sent) {
-			// The others tell that the group is broken only when they give up to wait for the rank, and hold what they get until then.
+			// The other ranks report the group as broken only when their wait for the rank times
+			// out, and hold their requests until then.
 			g.Open, g.Whole = false, false
 		}
-		g.Whole = g.Whole && m.known && now.Sub(m.heard) < missingAfter
-		if m.known && now.Sub(m.heard) < 2*directEvery {
+		g.Whole = g.Whole && m.known && now.Sub(m.lastContact) < missingAfter
+		if m.known && now.Sub(m.lastContact) < 2*directInterval {
 			g.Open = g.Open && m.status.Open
 			g.Ranks = append(g.Ranks, balance.RankLoad{
 				Address: m.info.Engine, DataCentre: m.info.DataCentre, Running: m.status.Running, Waiting: m.status.Waiting, Unstarted: c.book.Unstarted(now, m.info.Engine), Pace: m.status.Pace,
@@ -120,7 +124,7 @@
 	return c.planner.skew
 }
 
-// bounds returns what the ranks may have, or nil while the figures of the engine are not known.
+// bounds returns the limits of the ranks, or nil while the parameters of the engine are not known.
 func (c *coordinator) bounds(g balance.Group) *balance.Bounds {
 	if c.engine == nil {
 		return nil
