--- a/standin/metastore/copy.go
+++ b/standin/metastore/copy.go
@@ -5,13 +5,13 @@
 
 import "slices"
 
-// firstEra is the era of a store that has not come back from a copy.
+// firstEra is the era of a store that has never been restored from a copy.
 const firstEra = 0
 
-// Copy is what a store held at a moment.
+// Copy is a snapshot of the content of a store.
 type Copy struct{ streams map[string]stream }
 
-// Copy returns what the store holds now.
+// Copy returns a snapshot of the store.
 func (s *Store) Copy() Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,8 +22,8 @@
 	return c
 }
 
-// Return has the store come back from a copy: what was written since is gone, and the era rises. Reads that wait are answered by what the
-// store holds then.
+// Return restores the store from a copy: later records are lost, and the era rises by one. Waiting
+// reads are answered from the restored content.
 func (s *Store) Return(c Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,7 +32,7 @@
 		s.streams[topic] = &stream{records: slices.Clone(st.records), first: st.first}
 	}
 	s.era++
-	s.wake()
+	s.wakeReaders()
 }
 
 // Newest returns the newest value under a key of a stream; empty if there is none.
--- a/standin/metastore/metastore.go
+++ b/standin/metastore/metastore.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package metastore is a small stand-in of the platform's metadata store for tests: streams that keep the
-// newest record of each key, with reads that wait, trimmed records, outages, lost answers, and returns from a copy.
+// Package metastore is a small stand-in for the platform's metadata store, for tests: streams that
+// keep the newest record of each key, with long-polling reads, trimmed records, outages, lost
+// answers, and restores from a copy.
 package metastore
 
 import (
@@ -18,30 +19,32 @@
 	"time"
 )
 
-// Trouble tells what the store does to calls.
+// Trouble is a fault that the store applies to calls.
 type Trouble string
 
-// The kinds of trouble.
+// The kinds of fault.
 const (
 	// TroubleNone answers as usual.
 	TroubleNone Trouble = ""
 	// TroubleBusy answers 503 and does nothing.
 	TroubleBusy Trouble = "busy"
-	// TroubleSilent says nothing until the caller leaves.
+	// TroubleSilent sends no answer, and keeps the call open until the caller disconnects.
 	TroubleSilent Trouble = "silent"
-	// TroubleLost carries writes out and closes the connection without an answer.
+	// TroubleLost performs writes, then closes the connection without an answer.
 	TroubleLost Trouble = "lost"
-	// TroubleLate carries writes out after LateTime, and closes the connection without an answer at once.
+	// TroubleLate closes the connection at once without an answer, and performs writes after
+	// LateWriteDelay.
 	TroubleLate Trouble = "late"
-	// TroubleSlow sends answers AnswerTime after they were made: what they say may have changed meanwhile.
+	// TroubleSlow sends answers SlowAnswerDelay after they were computed, so that they may be out
+	// of date.
 	TroubleSlow Trouble = "slow"
 )
 
 const (
-	// LateTime is how long after its call a late write is carried out.
-	LateTime = 700 * time.Millisecond
-	// AnswerTime is how long a slow answer is under way.
-	AnswerTime = 250 * time.Millisecond
+	// LateWriteDelay is the time from a call to its late write.
+	LateWriteDelay = 700 * time.Millisecond
+	// SlowAnswerDelay is the delay of a slow answer.
+	SlowAnswerDelay = 250 * time.Millisecond
 )
 
 type stream struct {
@@ -50,14 +53,14 @@
 	first int
 }
 
-// Store is the stand-in. It is safe for use by several goroutines.
+// Store is the stand-in. It is safe for concurrent use.
 type Store struct {
 	mu      sync.Mutex
 	streams map[string]*stream
 	changed chan struct{}
 	trouble Trouble
 	calls   int
-	// era is told in each answer. It rises with each return from a copy.
+	// era is reported in each answer. It rises by one with each restore from a copy.
 	era uint64
 }
 
@@ -69,20 +72,20 @@
 // Put adds a record to a keyed stream; an empty value removes the key.
 func (s *Store) Put(topic, key, value string) {
 	record := append([]byte{byte(len(key))}, key...) //nolint:gosec // keys of tests are short
-	s.append(topic, [][]byte{append(record, value...)}, noOffset)
+	s.append(topic, [][]byte{append(record, value...)}, anyOffset)
 }
 
-// noOffset is the wanted offset of records that may be added anywhere.
-const noOffset = -1
+// anyOffset makes append add records wherever the stream ends.
+const anyOffset = -1
 
-// Trouble sets what happens to calls from now on.
+// Trouble sets the fault that is applied to calls from now on.
 func (s *Store) Trouble(t Trouble) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.trouble = t
 }
 
-// Trim forgets the records of a stream but for the newest of each key.
+// Trim makes the records of a stream unreadable, except for the newest of each key.
 func (s *Store) Trim(topic string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +100,7 @@
 	return len(s.stream(topic).records)
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of calls received so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,32 +116,33 @@
 	return st
 }
 
-// append adds records if the stream ends at a wanted offset.
+// append adds records if the stream ends at offset at, or if at is anyOffset.
 func (s *Store) append(topic string, records [][]byte, at int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lockedAppend(topic, records, at)
+	s.appendLocked(topic, records, at)
 }
 
-// lockedAppend adds records if the stream ends at a wanted offset, and returns the offset of the first. The caller holds the lock.
-func (s *Store) lockedAppend(topic string, records [][]byte, at int) (int, bool) {
+// appendLocked is append for callers that hold the lock. It returns the offset of the first record,
+// and whether the records were added.
+func (s *Store) appendLocked(topic string, records [][]byte, at int) (int, bool) {
 	st := s.stream(topic)
 	first := len(st.records)
-	if at != noOffset && at != first {
+	if at != anyOffset && at != first {
 		return first, false
 	}
 	st.records = append(st.records, records...)
-	s.wake()
+	s.wakeReaders()
 	return first, true
 }
 
-// wake has the reads that wait look again. The caller holds the lock.
-func (s *Store) wake() {
+// wakeReaders makes the waiting reads check the streams again. The caller holds the lock.
+func (s *Store) wakeReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// ServeHTTP serves the calls that fawnwinch makes.
+// ServeHTTP serves the calls that platform.Store makes.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.calls++
@@ -154,26 +158,26 @@
 	case TroubleLost, TroubleLate, TroubleSlow, TroubleNone:
 	}
 	topic := r.URL.Query().Get("topic")
-	made := answer{era: era, status: http.StatusNotFound}
+	reply := answer{era: era, status: http.StatusNotFound}
 	switch r.URL.Path {
 	case "/fawnwinch/log-append":
-		made = s.add(r, topic, trouble)
+		reply = s.handleAppend(r, topic, trouble)
 	case "/fawnwinch/log-newest":
-		made = s.newest(topic)
+		reply = s.newest(topic)
 	case "/fawnwinch/log-read":
-		made = s.read(r.Context(), topic, r.URL.Query())
+		reply = s.read(r.Context(), topic, r.URL.Query())
 	}
 	if trouble == TroubleSlow {
 		select {
-		case <-time.After(AnswerTime):
+		case <-time.After(SlowAnswerDelay):
 		case <-r.Context().Done():
 			return
 		}
 	}
-	made.send(w)
+	reply.send(w)
 }
 
-// answer is what the store says to a call, with the era in which it was made.
+// answer is an answer of the store, with the era in which it was computed.
 type answer struct {
 	era    uint64
 	status int
@@ -183,10 +187,10 @@
 func (a answer) send(w http.ResponseWriter) {
 	w.Header().Set("Store-Era", strconv.FormatUint(a.era, 10))
 	w.WriteHeader(a.status)
-	_, _ = w.Write(a.body) // a caller that has gone needs no answer
+	_, _ = w.Write(a.body) // the caller may have disconnected
 }
 
-// encoded returns an answer with a body as JSON. The caller holds the lock.
+// encoded returns an answer with v as its JSON body. The caller holds the lock.
 func (s *Store) encoded(status int, v any) answer {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -195,16 +199,17 @@
 	return answer{era: s.era, status: status, body: body}
 }
 
-// add adds records and answers with their offset, unless the answer is lost.
-func (s *Store) add(r *http.Request, topic string, trouble Trouble) answer {
+// handleAppend adds records and returns an answer with their offset, unless the fault loses the
+// answer.
+func (s *Store) handleAppend(r *http.Request, topic string, trouble Trouble) answer {
 	body, err := io.ReadAll(r.Body)
-	records, ok := split(body)
-	at := noOffset
+	records, ok := splitRecords(body)
+	at := anyOffset
 	if text := r.URL.Query().Get("at"); text != "" {
 		at, err = strconv.Atoi(text)
 	}
 	if trouble == TroubleLate && err == nil && ok {
-		time.AfterFunc(LateTime, func() { s.append(topic, records, at) })
+		time.AfterFunc(LateWriteDelay, func() { s.append(topic, records, at) })
 		panic(http.ErrAbortHandler)
 	}
 	s.mu.Lock()
@@ -212,7 +217,7 @@
 	if err != nil || !ok {
 		return answer{era: s.era, status: http.StatusBadRequest}
 	}
-	offset, ok := s.lockedAppend(topic, records, at)
+	offset, ok := s.appendLocked(topic, records, at)
 	if trouble == TroubleLost {
 		panic(http.ErrAbortHandler)
 	}
@@ -223,8 +228,8 @@
 	return s.encoded(status, map[string]int{"offset": offset, "end": end})
 }
 
-// split takes the body of an append apart: records, each after its length.
-func split(body []byte) ([][]byte, bool) {
+// splitRecords splits the body of an append into its records. Each follows its length.
+func splitRecords(body []byte) ([][]byte, bool) {
 	var out [][]byte
 	for len(body) >= 4 {
 		n := int(binary.BigEndian.Uint32(body))
@@ -236,7 +241,7 @@
 	return out, len(body) == 0
 }
 
-// newest answers with the newest record of each key.
+// newest returns an answer with the newest record of each key.
 func (s *Store) newest(topic string) answer {
 	type item struct {
 		TLSKey string `json:"tlsKey"`
@@ -262,13 +267,14 @@
 	return s.encoded(http.StatusOK, map[string]any{"items": items, "more": false, "end": len(st.records)})
 }
 
-// read answers with the records from an offset on, after a wait if there are none.
+// read returns an answer with the records from an offset on. If there are none, it waits for them
+// first.
 func (s *Store) read(ctx context.Context, topic string, q map[string][]string) answer {
 	number := func(name string) int {
 		if len(q[name]) == 0 {
 			return 0
 		}
-		n, _ := strconv.Atoi(q[name][0]) // a test that sends no number gets 0
+		n, _ := strconv.Atoi(q[name][0]) // 0 if it is not a number
 		return n
 	}
 	from := number("from")
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: MIT
 
 // Package platform is a small stand-in for the platform's services: an append-only log,
-// a lagging VM list and a rate-limited weight store, with faults that can be switched.
+// a delayed VM list and a rate-limited weight store, with faults that can be switched on.
 package platform
 
 import (
@@ -21,38 +21,38 @@
 
 // Options sets the limits of the stand-in.
 type Options struct {
-	// AppendsPerSecond bounds appends over all streams.
+	// AppendsPerSecond is the rate limit of appends to all streams together.
 	AppendsPerSecond int
 	// Retention is how long records are kept.
 	Retention time.Duration
-	// ListLag is how long the VM list stays behind the truth.
+	// ListLag is the time until a change of the VM list becomes visible.
 	ListLag time.Duration
-	// WeightBytesPerSecond bounds the weight store.
+	// WeightBytesPerSecond is the rate limit of the weight store.
 	WeightBytesPerSecond int
 }
 
-// DefaultOptions returns the limits used when none are given.
+// DefaultOptions returns the default limits.
 func DefaultOptions() Options {
 	return Options{AppendsPerSecond: 300, Retention: time.Hour, ListLag: 2 * time.Second, WeightBytesPerSecond: 1 << 30}
 }
 
-// Fault is a switchable misbehaviour of the log and the list.
+// Fault holds the faults of the stand-in that can be switched on.
 type Fault struct {
 	// Down makes every call fail before it takes effect.
 	Down bool `json:"down"`
 	// LoseAnswers makes appends take effect and then fail.
 	LoseAnswers bool `json:"lose_answers"`
-	// DelayMillis holds every call back, in milliseconds.
+	// DelayMillis is the delay of every call, in milliseconds.
 	DelayMillis int `json:"delay_ms"`
 }
 
 type stream struct {
 	first   services.Offset
 	records []services.LogRecord
-	grown   chan struct{}
+	changed chan struct{}
 }
 
-type listed struct {
+type listSnapshot struct {
 	at  time.Time
 	vms []vm.VM
 }
@@ -66,7 +66,7 @@
 	mu      sync.Mutex
 	fault   Fault
 	streams map[services.Stream]*stream
-	lists   []listed
+	lists   []listSnapshot
 	appends int
 	stop    chan struct{}
 }
@@ -82,16 +82,16 @@
 	}
 }
 
-// Close ends waiting reads.
+// Close cancels waiting reads.
 func (s *Server) Close() { close(s.stop) }
 
 // Handler returns the HTTP interface.
 func (s *Server) Handler() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc("POST /v1/streams/{stream}/records", s.faulty(s.handleAppend))
-	m.HandleFunc("GET /v1/streams/{stream}/records", s.faulty(s.handleRead))
-	m.HandleFunc("GET /v1/vms", s.faulty(s.handleVMs))
-	m.HandleFunc("POST /v1/weights/fetch", s.faulty(s.handleFetch))
+	m.HandleFunc("POST /v1/streams/{stream}/records", s.withFault(s.handleAppend))
+	m.HandleFunc("GET /v1/streams/{stream}/records", s.withFault(s.handleRead))
+	m.HandleFunc("GET /v1/vms", s.withFault(s.handleVMs))
+	m.HandleFunc("POST /v1/weights/fetch", s.withFault(s.handleFetch))
 	m.HandleFunc("PUT /control/vms", s.handleSetVMs)
 	m.HandleFunc("PUT /control/fault", s.handleSetFault)
 	m.HandleFunc("POST /control/trim", s.handleTrim)
@@ -99,7 +99,7 @@
 	return m
 }
 
-func (s *Server) faulty(next http.HandlerFunc) http.HandlerFunc {
+func (s *Server) withFault(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		f := s.fault
@@ -123,7 +123,7 @@
 func (s *Server) stream(name services.Stream) *stream {
 	st, ok := s.streams[name]
 	if !ok {
-		st = &stream{grown: make(chan struct{})}
+		st = &stream{changed: make(chan struct{})}
 		s.streams[name] = st
 	}
 	return st
@@ -141,9 +141,9 @@
 	}
 	s.mu.Lock()
 	off := s.append(time.Now(), services.Stream(r.PathValue("stream")), data)
-	lose := s.fault.LoseAnswers
+	loseAnswer := s.fault.LoseAnswers
 	s.mu.Unlock()
-	if lose {
+	if loseAnswer {
 		http.Error(w, "answer lost", http.StatusGatewayTimeout)
 		return
 	}
@@ -155,22 +155,22 @@
 	off := st.first + services.Offset(len(st.records))
 	st.records = append(st.records, services.LogRecord{Offset: off, At: now, Data: data})
 	s.appends++
-	close(st.grown)
-	st.grown = make(chan struct{})
+	close(st.changed)
+	st.changed = make(chan struct{})
 	return off
 }
 
 // trim drops records that are older than the retention. The caller holds the lock.
-func (st *stream) trim(now time.Time, keep time.Duration) {
+func (st *stream) trim(now time.Time, retention time.Duration) {
 	n := 0
-	for n < len(st.records) && now.Sub(st.records[n].At) > keep {
+	for n < len(st.records) && now.Sub(st.records[n].At) > retention {
 		n++
 	}
 	st.first += services.Offset(n)
 	st.records = append([]services.LogRecord(nil), st.records[n:]...)
 }
 
-// maxRecords bounds one page.
+// maxRecords is the maximum number of records of a page.
 const maxRecords = 2000
 
 func (st *stream) page(now time.Time, from services.Offset) services.Page {
@@ -200,7 +200,7 @@
 		now := time.Now()
 		st := s.stream(services.Stream(r.PathValue("stream")))
 		st.trim(now, s.opts.Retention)
-		page, grown, down := st.page(now, services.Offset(from)), st.grown, s.fault.Down
+		page, changed, down := st.page(now, services.Offset(from)), st.changed, s.fault.Down
 		s.mu.Unlock()
 		if down {
 			http.Error(w, "platform is down", http.StatusServiceUnavailable)
@@ -211,7 +211,7 @@
 			return
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-deadline.C:
 			waitMillis = 0
 		case <-r.Context().Done():
@@ -225,31 +225,31 @@
 func (s *Server) handleVMs(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	horizon := time.Now().Add(-s.opts.ListLag)
-	seen := []vm.VM{}
+	cutoff := time.Now().Add(-s.opts.ListLag)
+	visible := []vm.VM{}
 	for i, l := range s.lists {
-		if i == 0 || !l.at.After(horizon) {
-			seen = l.vms
+		if i == 0 || !l.at.After(cutoff) {
+			visible = l.vms
 		}
 	}
-	httpx.WriteJSON(w, http.StatusOK, seen)
+	httpx.WriteJSON(w, http.StatusOK, visible)
 }
 
-// SetVMs changes the true list; callers see it after the lag.
+// SetVMs sets the VM list. Callers see it after ListLag.
 func (s *Server) SetVMs(now time.Time, vms []vm.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lists = append(s.lists, listed{at: now, vms: vms})
+	s.lists = append(s.lists, listSnapshot{at: now, vms: vms})
 }
 
-// SetFault switches the misbehaviour.
+// SetFault replaces the faults.
 func (s *Server) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 	for _, st := range s.streams {
-		close(st.grown)
-		st.grown = make(chan struct{})
+		close(st.changed)
+		st.changed = make(chan struct{})
 	}
 }
 
@@ -282,7 +282,7 @@
 	httpx.WriteJSON(w, http.StatusOK, true)
 }
 
-// Stats counts what the stand-in has taken.
+// Stats holds counters of the stand-in.
 type Stats struct {
 	Appends int `json:"appends"`
 }
--- a/standin/rankgroup/orders.go
+++ b/standin/rankgroup/orders.go
@@ -30,21 +30,21 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		if g.lose(n, o) {
+		if g.loseAnswer(n, o) {
 			<-r.Context().Done()
 			return
 		}
-		w.WriteHeader(g.take(time.Now(), n, o))
+		w.WriteHeader(g.apply(time.Now(), n, o))
 	})
 	return mux
 }
 
 func answer(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // a caller that has gone needs no answer
+	_ = json.NewEncoder(w).Encode(v) // the caller may have disconnected
 }
 
-// report returns what a rank tells of itself.
+// report returns the report of a rank.
 func (g *Group) report(now time.Time, n int) map[string]any {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -65,7 +65,7 @@
 	return out
 }
 
-// picked returns a rank's counts, or the map that it holds.
+// picked returns a rank's counts of expert choices, or the map that it uses if lists is set.
 func (g *Group) picked(n int, lists bool) map[string]any {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -80,27 +80,27 @@
 	return map[string]any{"map": map[string]any{"version": r.version, "experts": experts}}
 }
 
-// lose reports whether an order gets no answer. It is carried out later.
-func (g *Group) lose(n int, o order) bool {
+// loseAnswer reports whether the order gets no answer. Such an order is applied after Trouble.Late.
+func (g *Group) loseAnswer(n int, o order) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.rand.Float64() >= g.trouble.Lost {
 		return false
 	}
-	late := time.NewTimer(g.trouble.Late)
+	timer := time.NewTimer(g.trouble.Late)
 	g.done.Go(func() {
-		defer late.Stop()
+		defer timer.Stop()
 		select {
-		case <-late.C:
-			g.take(time.Now(), n, o)
+		case <-timer.C:
+			g.apply(time.Now(), n, o)
 		case <-g.stopped:
 		}
 	})
 	return true
 }
 
-// take carries an order out and returns the status of the answer.
-func (g *Group) take(now time.Time, n int, o order) int {
+// apply applies an order to a rank and returns the HTTP status of the answer.
+func (g *Group) apply(now time.Time, n int, o order) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.ranks[n]
@@ -131,10 +131,10 @@
 	if r.prepared == o.Version {
 		return http.StatusOK
 	}
-	if o.Version <= r.newest || r.armed != 0 {
+	if o.Version <= r.newestPrepared || r.armed != 0 {
 		return http.StatusConflict
 	}
-	r.prepared, r.newest, r.next, r.readyAt = o.Version, o.Version, o.Map, now.Add(g.opts.LoadTime)
+	r.prepared, r.newestPrepared, r.next, r.readyAt = o.Version, o.Version, o.Map, now.Add(g.opts.LoadTime)
 	return http.StatusAccepted
 }
 
--- a/standin/rankgroup/rankgroup.go
+++ b/standin/rankgroup/rankgroup.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package rankgroup is a small stand-in of a model group on the users' platform for tests: ranks that make passes
-// together, report, count what is chosen and take orders, with orders that are lost and carried out late. It
-// checks that all ranks hold the same expert map whenever a pass begins.
+// Package rankgroup is a small stand-in for a model group on the users' platform, for tests: ranks
+// that run passes in lockstep, report, count the choices of experts and accept orders. Answers to
+// orders may be lost and the orders applied late. It checks that all ranks use the same expert map
+// whenever a pass begins.
 package rankgroup
 
 import (
@@ -13,7 +14,7 @@
 	"time"
 )
 
-// Options holds the sizes of a group.
+// Options holds the sizes and times of a group.
 type Options struct {
 	Name                    string
 	Ranks, Layers, Experts  int
@@ -22,17 +23,17 @@
 	ChoicesPerPass, Running int
 }
 
-// expertMap is a map: by layer and rank, the experts.
+// expertMap is an expert map: the experts by layer and rank.
 type expertMap [][][]int
 
 // rank is the state of one rank.
 type rank struct {
-	version  uint64
-	experts  expertMap
-	newest   uint64
-	prepared uint64
-	next     expertMap
-	// readyAt is when the prepared map is loaded.
+	version        uint64
+	experts        expertMap
+	newestPrepared uint64
+	prepared       uint64
+	next           expertMap
+	// readyAt is the time when the prepared map is completely loaded.
 	readyAt time.Time
 	armed   uint64
 	armedAt uint64
@@ -42,34 +43,34 @@
 	counts  []uint64
 }
 
-// Trouble tells what happens to orders.
+// Trouble holds the faults that are applied to orders.
 type Trouble struct {
-	// Lost is the part of the orders that get no answer. Each is carried out after Late.
+	// Lost is the fraction of orders that get no answer. Each of them is applied after Late.
 	Lost float64
 	Late time.Duration
 }
 
-// Group is the stand-in. It is safe for use by several goroutines.
+// Group is the stand-in. It is safe for concurrent use.
 type Group struct {
 	opts Options
 
-	mu      sync.Mutex
-	rand    *rand.Rand
-	ranks   []*rank
-	step    uint64
-	epoch   uint64
-	hot     int
-	trouble Trouble
-	mixed   int
-	changes int
-	heldFor time.Duration
-	stopped chan struct{}
-	done    sync.WaitGroup
+	mu          sync.Mutex
+	rand        *rand.Rand
+	ranks       []*rank
+	step        uint64
+	epoch       uint64
+	hotExpert   int
+	trouble     Trouble
+	mixedPasses int
+	mapChanges  int
+	heldTime    time.Duration
+	stopped     chan struct{}
+	done        sync.WaitGroup
 }
 
-// New returns a group on its first map, in which experts are dealt out in turn.
+// New returns a group that uses its first map, with experts assigned to ranks round-robin.
 func New(o Options) *Group {
-	g := &Group{opts: o, epoch: 1, rand: rand.New(rand.NewPCG(o.Seed, 1)), stopped: make(chan struct{})} //nolint:gosec // tests repeat by their seed
+	g := &Group{opts: o, epoch: 1, rand: rand.New(rand.NewPCG(o.Seed, 1)), stopped: make(chan struct{})} //nolint:gosec // tests are reproducible by their seed
 	first := make(expertMap, o.Layers)
 	for l := range first {
 		first[l] = make([][]int, o.Ranks)
@@ -83,7 +84,7 @@
 	return g
 }
 
-// Start lets the group make passes until Stop.
+// Start starts the passes of the group, which run until Stop.
 func (g *Group) Start() {
 	g.done.Go(func() {
 		t := time.NewTicker(g.opts.PassTime)
@@ -99,45 +100,46 @@
 	})
 }
 
-// Stop ends the passes, and the orders that are still to be carried out.
+// Stop stops the passes and cancels the orders that have not been applied yet.
 func (g *Group) Stop() {
 	close(g.stopped)
 	g.done.Wait()
 }
 
-// Like makes one expert of each layer liked more than all others together.
+// Like makes one expert of each layer be chosen more often than all others together.
 func (g *Group) Like(expert int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.hot = expert
+	g.hotExpert = expert
 }
 
-// Trouble sets what happens to orders from now on.
+// Trouble sets the faults that are applied to orders from now on.
 func (g *Group) Trouble(t Trouble) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.trouble = t
 }
 
-// Seen tells what has happened so far.
+// Seen holds the counters of a group.
 type Seen struct {
-	// Mixed counts the passes that began with two maps, Changes those that began with a new one.
+	// Mixed counts the passes that began with different maps, Changes those that began with a new
+	// map.
 	Mixed, Changes int
 	Passes         uint64
-	// Version is that of the map in use.
+	// Version is the version of the map in use.
 	Version uint64
-	// Held is how long the group has stood still in all.
+	// Held is the total time for which holds delayed the passes.
 	Held time.Duration
 }
 
-// Seen returns what has happened so far.
+// Seen returns the counters of the group.
 func (g *Group) Seen() Seen {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return Seen{Mixed: g.mixed, Changes: g.changes, Passes: g.step, Version: g.ranks[0].version, Held: g.heldFor}
+	return Seen{Mixed: g.mixedPasses, Changes: g.mapChanges, Passes: g.step, Version: g.ranks[0].version, Held: g.heldTime}
 }
 
-// Holds reports whether a rank holds a pass.
+// Holds reports whether a rank has a hold in force.
 func (g *Group) Holds() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -149,14 +151,14 @@
 	return false
 }
 
-// pass begins the next pass, unless a rank holds it, and checks the maps.
+// pass starts the next pass, unless a rank holds it, and checks that all ranks use the same map.
 func (g *Group) pass() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	next := g.step + 1
 	for _, r := range g.ranks {
 		if r.holds && r.held <= next {
-			g.heldFor += g.opts.PassTime
+			g.heldTime += g.opts.PassTime
 			return
 		}
 	}
@@ -172,22 +174,22 @@
 	first := g.ranks[0]
 	for _, r := range g.ranks {
 		if r.version != first.version || !reflect.DeepEqual(r.experts, first.experts) {
-			g.mixed++
+			g.mixedPasses++
 			break
 		}
 	}
 	if changed {
-		g.changes++
+		g.mapChanges++
 	}
-	g.choose()
+	g.countChoices()
 }
 
-// choose counts the choices of a pass.
-func (g *Group) choose() {
+// countChoices counts the expert choices of a pass.
+func (g *Group) countChoices() {
 	for _, r := range g.ranks {
 		for l := range g.opts.Layers {
 			for range g.opts.ChoicesPerPass {
-				e := g.hot
+				e := g.hotExpert
 				if g.rand.IntN(2) == 0 {
 					e = g.rand.IntN(g.opts.Experts)
 				}
--- a/standin/upstream/engine.go
+++ b/standin/upstream/engine.go
@@ -19,7 +19,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ChatRequest is the part of an OpenAI-style chat completion that the engine reads.
+// ChatRequest holds the fields of an OpenAI-style chat completion request that the engine reads.
 type ChatRequest struct {
 	Model     string        `json:"model"`
 	Messages  []ChatMessage `json:"messages"`
@@ -38,21 +38,22 @@
 const (
 	defaultMaxTokens = 16
 	maxTokensLimit   = 100000
-	// charsPerToken and tokensPerStep turn a prompt into steps of prefill.
+	// charsPerToken and tokensPerStep convert the length of a prompt into a number of prefill
+	// steps.
 	charsPerToken = 4
 	tokensPerStep = 512
 	// prefixBlock is the length of one cached block of a prompt, in characters.
 	prefixBlock = 64
-	// prefixBlocks is the number of blocks a rank keeps.
+	// prefixBlocks is the number of blocks that a rank caches.
 	prefixBlocks = 4096
 )
 
-// Token returns the text of a token, which depends on the prompt and the index alone.
+// Token returns the text of a token, which depends only on the prompt and the index.
 func Token(prompt string, i int) string {
 	return fmt.Sprintf("%04x.%d ", xxhash.Sum64String(prompt)&0xffff, i)
 }
 
-// Text returns the whole answer to a prompt.
+// Text returns the complete answer to a prompt, of n tokens.
 func Text(prompt string, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -61,7 +62,7 @@
 	return b.String()
 }
 
-// prefixCache remembers the latest blocks of prompts.
+// prefixCache is an LRU cache of blocks of prompts.
 type prefixCache struct {
 	order  *list.List
 	blocks map[uint64]*list.Element
@@ -71,7 +72,8 @@
 	return &prefixCache{order: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// hit returns the number of leading characters already cached, and caches the prompt.
+// hit returns the number of leading characters of the prompt that are cached, and caches the
+// prompt.
 func (c *prefixCache) hit(prompt string) int {
 	h := xxhash.New()
 	matched, missing := 0, false
@@ -102,7 +104,7 @@
 	m.HandleFunc("GET /engine/state", func(w http.ResponseWriter, _ *http.Request) { httpx.WriteJSON(w, http.StatusOK, g.State(n)) })
 	m.HandleFunc("GET /engine/map", func(w http.ResponseWriter, _ *http.Request) { httpx.WriteJSON(w, http.StatusOK, g.CurrentMap(n)) })
 	m.HandleFunc("GET /engine/experts", func(w http.ResponseWriter, _ *http.Request) {
-		httpx.WriteJSON(w, http.StatusOK, g.Popularity())
+		httpx.WriteJSON(w, http.StatusOK, g.TokenCounts())
 	})
 	m.HandleFunc("POST /engine/orders", func(w http.ResponseWriter, r *http.Request) { g.handleOrder(n, w, r) })
 	m.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -157,7 +159,7 @@
 		streamAnswer(w, id, c, prompt.String(), s)
 		return
 	}
-	wholeAnswer(w, id, c, prompt.String(), s)
+	completeAnswer(w, id, c, prompt.String(), s)
 }
 
 func (g *Group) newSequence(n group.Rank, r *http.Request, c ChatRequest, prompt string) *sequence {
@@ -187,7 +189,7 @@
 	Token int `json:"token"`
 }
 
-func wholeAnswer(w http.ResponseWriter, id string, c ChatRequest, prompt string, s *sequence) {
+func completeAnswer(w http.ResponseWriter, id string, c ChatRequest, prompt string, s *sequence) {
 	var text strings.Builder
 	count := c.ResumeFrom
 	for t := range s.tokens {
@@ -209,8 +211,8 @@
 	flusher, _ := w.(http.Flusher)
 	count := c.ResumeFrom
 	for t := range s.tokens {
-		part := completion{ID: id, Object: "chat.completion.chunk", Token: t, Choices: []choice{{Delta: &ChatMessage{Content: Token(prompt, t)}}}}
-		raw, err := json.Marshal(part)
+		chunk := completion{ID: id, Object: "chat.completion.chunk", Token: t, Choices: []choice{{Delta: &ChatMessage{Content: Token(prompt, t)}}}}
+		raw, err := json.Marshal(chunk)
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
--- a/standin/upstream/group.go
+++ b/standin/upstream/group.go
@@ -21,19 +21,19 @@
 	Ranks   int
 	Layers  int
 	Experts int
-	// Slots is the number of experts of a layer that one rank can hold.
+	// Slots is the number of experts per layer that one rank can hold.
 	Slots int
-	// StepTime is the duration of an even step without requests.
+	// StepTime is the duration of a step with even expert load and without requests.
 	StepTime time.Duration
-	// PerSequence is what each running request adds to the step of its rank.
+	// PerSequence is the time that each running request adds to the step of its rank.
 	PerSequence time.Duration
-	// MaxRunning is the number of requests a rank works on at a time.
+	// MaxRunning is the maximum number of requests that a rank processes at a time.
 	MaxRunning int
-	// ChecksFence makes ranks refuse orders with an old fence.
+	// ChecksFence reports whether ranks refuse orders with an old fence.
 	ChecksFence bool
-	// ReportLag is how old the load that ranks report may be.
+	// ReportLag is the maximum age of the load that ranks report.
 	ReportLag time.Duration
-	// Seed starts the drift of expert popularity.
+	// Seed is the seed of the random drift of expert popularity.
 	Seed uint64
 }
 
@@ -45,7 +45,7 @@
 	}
 }
 
-// SlotsFor returns the slots of each of ranks that hold all experts and a quarter more for replicas.
+// SlotsFor returns the number of slots per rank for all experts and a quarter more for replicas.
 func SlotsFor(experts, ranks int) int { return (experts*5/4 + ranks - 1) / ranks }
 
 // sequence is one running or waiting request.
@@ -71,59 +71,61 @@
 	running  []*sequence
 	waiting  []*sequence
 	stall    time.Duration
-	// keepHoldAnswer is set by Fault.
-	keepHoldAnswer bool
-	speed          float64
-	busy           float64
-	reported       report
-	cache          *prefixCache
+	// withholdHoldAnswer is set by Fault.KeepHoldAnswer.
+	withholdHoldAnswer bool
+	speed              float64
+	meanBusyMicros     float64
+	reported           report
+	cache              *prefixCache
 }
 
-// report is the load of a rank as it was at a time.
+// report is the load of a rank at a point in time.
 type report struct {
-	at               time.Time
-	running, waiting int
-	step, busy       int64
-	load             float64
+	at                     time.Time
+	running, waiting       int
+	stepMicros, busyMicros int64
+	load                   float64
 }
 
-// report returns the rank's load, which lags. The caller holds the lock.
+// report returns the load that the rank reports, which is up to ReportLag old. The caller holds the
+// lock.
 func (g *Group) report(now time.Time, r *rank) report {
 	if now.Sub(r.reported.at) >= g.opts.ReportLag {
 		r.reported = report{
 			at: now, running: len(r.running), waiting: len(r.waiting),
-			step: int64(g.micros), busy: int64(r.busy), load: g.expertLoads()[r.number],
+			stepMicros: int64(g.meanStepMicros), busyMicros: int64(r.meanBusyMicros), load: g.expertLoads()[r.number],
 		}
 	}
 	return r.reported
 }
 
-// StepRecord tells which map each rank used in a step.
+// StepRecord holds the version of the map that each rank used in a step.
 type StepRecord struct {
 	Step group.Step          `json:"step"`
 	Maps []expertmap.Version `json:"maps"`
 }
 
-// Group steps its ranks together. Mixed counts steps in which ranks used different maps.
+// Group runs its ranks in lockstep. It counts in mixedSteps the steps in which ranks used different
+// maps.
 type Group struct {
 	opts GroupOptions
 
-	mu         sync.Mutex
-	changed    *sync.Cond
-	ranks      []*rank
-	step       group.Step
-	popularity [][]float64
-	tokens     [][]float64
-	micros     float64
-	skew       float64
-	mixed      int
-	switches   []StepRecord
-	stopped    bool
-	done       chan struct{}
-	random     *rand.Rand
+	mu             sync.Mutex
+	changed        *sync.Cond
+	ranks          []*rank
+	step           group.Step
+	popularity     [][]float64
+	tokens         [][]float64
+	meanStepMicros float64
+	skew           float64
+	mixedSteps     int
+	switches       []StepRecord
+	stopped        bool
+	done           chan struct{}
+	random         *rand.Rand
 }
 
-// NewGroup returns a group on its first map. Run makes it step.
+// NewGroup returns a group that uses its first map. Start makes it step.
 func NewGroup(o GroupOptions) (*Group, error) {
 	first, err := expertmap.RoundRobin(o.ID, o.Layers, o.Ranks, o.Slots, o.Experts)
 	if err != nil {
@@ -146,10 +148,10 @@
 	return g, nil
 }
 
-// Start makes the group step until Stop.
+// Start starts the steps of the group, which run until Stop.
 func (g *Group) Start() { go g.run() }
 
-// Stop ends the steps.
+// Stop stops the group and waits for the current step.
 func (g *Group) Stop() {
 	g.mu.Lock()
 	g.stopped = true
--- a/standin/upstream/group_order.go
+++ b/standin/upstream/group_order.go
@@ -11,7 +11,7 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// State returns what a rank tells about itself.
+// State returns the state that a rank reports.
 func (g *Group) State(n group.Rank) services.EngineState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -19,7 +19,7 @@
 	l := g.report(time.Now(), r)
 	return services.EngineState{
 		Rank: n, Step: g.step, Map: r.current.Version, Fence: r.fence, Running: l.running,
-		Waiting: l.waiting, StepMicros: l.step, BusyMicros: l.busy, Load: l.load,
+		Waiting: l.waiting, StepMicros: l.stepMicros, BusyMicros: l.busyMicros, Load: l.load,
 		Staged: version(r.staged), Hold: r.hold, HoldMap: r.holdMap, SwitchAt: r.switchAt, SwitchMap: version(r.switchTo),
 	}
 }
@@ -31,7 +31,7 @@
 	return m.Version
 }
 
-// Order carries out an order at a rank.
+// Order applies an order to a rank.
 func (g *Group) Order(n group.Rank, o services.Order) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -53,7 +53,7 @@
 			return services.ErrRefused{Reason: "not staged"}
 		}
 		r.hold, r.holdMap = o.Step, o.Map.Version
-		g.keepAnswer(r)
+		g.awaitHoldAnswer(r)
 	case services.OrderSwitch:
 		if r.staged == nil || r.staged.Version != o.Map.Version {
 			return services.ErrRefused{Reason: "not staged"}
@@ -73,35 +73,35 @@
 	return nil
 }
 
-// keepAnswer returns when the rank may answer an order to hold. The hold is in force meanwhile: the
-// wait on changed gives the lock back.
-func (g *Group) keepAnswer(r *rank) {
-	for r.keepHoldAnswer && !g.stopped {
+// awaitHoldAnswer waits until the rank may answer an order to hold. The hold is in force meanwhile,
+// since the wait on changed releases the lock.
+func (g *Group) awaitHoldAnswer(r *rank) {
+	for r.withholdHoldAnswer && !g.stopped {
 		g.changed.Wait()
 	}
 }
 
-// Fault is a switchable misbehaviour of a group.
+// Fault holds the faults of a rank and a change of expert popularity.
 type Fault struct {
 	Rank group.Rank `json:"rank"`
 	// StallMillis is added to every step of the rank, in milliseconds.
 	StallMillis int `json:"stall_ms"`
-	// Speed is the rank's speed; 1 is normal.
+	// Speed is the rank's relative speed; 1 is normal, and 0 leaves it unchanged.
 	Speed float64 `json:"speed"`
-	// Drift swaps this many pairs of expert popularities in every layer.
+	// Drift is the number of pairs of experts per layer whose popularities are swapped.
 	Drift int `json:"drift"`
-	// KeepHoldAnswer makes the rank carry out an order to hold but answer it only when the fault is
-	// over, so that a test can act while all ranks hold.
+	// KeepHoldAnswer makes the rank apply an order to hold but delay the answer until the fault is
+	// cleared, so that a test can act while all ranks hold.
 	KeepHoldAnswer bool `json:"keep_hold_answer"`
 }
 
-// SetFault switches the misbehaviour.
+// SetFault sets the faults of a rank.
 func (g *Group) SetFault(f Fault) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.ranks[f.Rank]
 	r.stall = time.Duration(f.StallMillis) * time.Millisecond
-	r.keepHoldAnswer = f.KeepHoldAnswer
+	r.withholdHoldAnswer = f.KeepHoldAnswer
 	g.changed.Broadcast()
 	if f.Speed > 0 {
 		r.speed = f.Speed
@@ -114,7 +114,7 @@
 	}
 }
 
-// Report is what the stand-in saw, for tests.
+// Report holds the counters and the history of a group, for tests.
 type Report struct {
 	Step     group.Step   `json:"step"`
 	Mixed    int          `json:"mixed"`
@@ -122,15 +122,15 @@
 	Switches []StepRecord `json:"switches"`
 }
 
-// Report returns what the stand-in saw.
+// Report returns the counters and the history of the group.
 func (g *Group) Report() Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return Report{Step: g.step, Mixed: g.mixed, Skew: g.skew, Switches: append([]StepRecord(nil), g.switches...)}
+	return Report{Step: g.step, Mixed: g.mixedSteps, Skew: g.skew, Switches: append([]StepRecord(nil), g.switches...)}
 }
 
-// Popularity returns how many tokens each expert of each layer has had.
-func (g *Group) Popularity() [][]float64 {
+// TokenCounts returns the number of tokens that each expert of each layer has processed.
+func (g *Group) TokenCounts() [][]float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := make([][]float64, len(g.tokens))
@@ -140,7 +140,7 @@
 	return out
 }
 
-// CurrentMap returns the map a rank uses.
+// CurrentMap returns the map that a rank uses.
 func (g *Group) CurrentMap(n group.Rank) *expertmap.Map {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/standin/upstream/group_step.go
+++ b/standin/upstream/group_step.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// enterStep waits until every rank may enter the next step and returns how long it takes.
+// enterStep waits until every rank may enter the next step, and returns the duration of that step.
+// It returns false once the group is stopped.
 func (g *Group) enterStep() (time.Duration, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -42,12 +43,12 @@
 		}
 		maps[i] = r.current.Version
 	}
-	g.record(maps, switched)
+	g.recordMaps(maps, switched)
 	g.admit()
 	return g.stepTime(), true
 }
 
-// heldLocked reports whether a rank must not enter the next step before a decision.
+// heldLocked reports whether a hold keeps a rank from entering the next step.
 func (g *Group) heldLocked() bool {
 	for _, r := range g.ranks {
 		if r.hold != 0 && g.step+1 >= r.hold {
@@ -57,7 +58,8 @@
 	return false
 }
 
-// idleLocked reports whether nothing needs a step. A pending hold or switch is worked off by stepping.
+// idleLocked reports whether no rank needs a step. A pending hold or switch needs one, since it
+// takes effect by stepping.
 func (g *Group) idleLocked() bool {
 	for _, r := range g.ranks {
 		if len(r.running)+len(r.waiting) > 0 || r.hold != 0 || r.switchTo != nil {
@@ -67,20 +69,20 @@
 	return true
 }
 
-func (g *Group) record(maps []expertmap.Version, switched bool) {
+func (g *Group) recordMaps(maps []expertmap.Version, switched bool) {
 	mixed := false
 	for _, m := range maps[1:] {
 		mixed = mixed || m != maps[0]
 	}
 	if mixed {
-		g.mixed++
+		g.mixedSteps++
 	}
 	if (switched || mixed) && len(g.switches) < 1000 {
 		g.switches = append(g.switches, StepRecord{Step: g.step, Maps: maps})
 	}
 }
 
-// admit moves waiting requests into the batch, the highest priority first.
+// admit moves waiting requests into the running batch, highest priority first.
 func (g *Group) admit() {
 	for _, r := range g.ranks {
 		for len(r.running) < g.opts.MaxRunning && len(r.waiting) > 0 {
@@ -96,10 +98,10 @@
 	}
 }
 
-// smoothing is the weight of the latest step in the means.
-const smoothing = 0.1
+// decay is the weight of the latest step in the moving averages.
+const decay = 0.1
 
-// stepTime is the time of the slowest rank.
+// stepTime returns the step time of the slowest rank, and updates the averages and the skew.
 func (g *Group) stepTime() time.Duration {
 	loads := g.expertLoads()
 	var slowest time.Duration
@@ -108,14 +110,14 @@
 		g.skew = max(g.skew, loads[i])
 		d := time.Duration(float64(g.opts.StepTime) * loads[i] / r.speed)
 		d += time.Duration(len(r.running))*g.opts.PerSequence + r.stall
-		r.busy += smoothing * (float64(d.Microseconds()) - r.busy)
+		r.meanBusyMicros += decay * (float64(d.Microseconds()) - r.meanBusyMicros)
 		slowest = max(slowest, d)
 	}
-	g.micros += smoothing * (float64(slowest.Microseconds()) - g.micros)
+	g.meanStepMicros += decay * (float64(slowest.Microseconds()) - g.meanStepMicros)
 	return slowest
 }
 
-// expertLoads returns each rank's expert load against the mean.
+// expertLoads returns each rank's expert load relative to the mean.
 func (g *Group) expertLoads() []float64 {
 	loads := make([]float64, len(g.ranks))
 	var total float64
@@ -139,7 +141,7 @@
 	return loads
 }
 
-// finishStep gives every running request its token.
+// finishStep advances every running request by one step.
 func (g *Group) finishStep() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -163,7 +165,8 @@
 	}
 }
 
-// advance reports whether the sequence goes on after this step.
+// advance performs a step of prefill or sends the next token, and reports whether the sequence
+// continues after it.
 func (s *sequence) advance() bool {
 	if s.ctx.Err() != nil {
 		close(s.tokens)
@@ -182,7 +185,8 @@
 	return false
 }
 
-// submit puts a request on a rank. Its tokens arrive on the channel of the sequence, which holds them all.
+// submit queues a request at a rank. Its tokens are sent to the channel of the sequence, which has
+// capacity for all of them.
 func (g *Group) submit(n group.Rank, s *sequence) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/standin/upstream/plain.go
+++ b/standin/upstream/plain.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package upstream holds small stand-ins for the back ends: a plain service that counts every
-// effect, and a group of model engine ranks that step together.
+// Package upstream contains small stand-ins for upstreams: a plain service that counts every
+// effect, and a group of model engine ranks that run in lockstep.
 package upstream
 
 import (
@@ -16,19 +16,20 @@
 	"fawnwinch.org/fawnwinch/modules/httpx"
 )
 
-// PlainFault is a switchable misbehaviour of the plain service.
+// PlainFault holds the faults of the plain service.
 type PlainFault struct {
 	// DelayMillis is the time between the arrival of a request and its effect, in milliseconds.
 	DelayMillis int `json:"delay_ms"`
 	// LoseAnswers closes the connection after the effect.
 	LoseAnswers bool `json:"lose_answers"`
-	// Truncate ends the body before its announced length.
+	// Truncate ends the body before its Content-Length.
 	Truncate bool `json:"truncate"`
 	// ForeignID answers with the id of another request.
 	ForeignID bool `json:"foreign_id"`
 }
 
-// Plain is a service that keeps no keys itself: a request that arrives twice has its effect twice.
+// Plain is a service without idempotency keys of its own: a request that arrives twice has its
+// effect twice.
 type Plain struct {
 	mu      sync.Mutex
 	effects map[string]int
@@ -36,7 +37,7 @@
 	calls   int
 }
 
-// NewPlain returns a service without effects.
+// NewPlain returns a service with no effects counted yet.
 func NewPlain() *Plain { return &Plain{effects: map[string]int{}} }
 
 // Handler returns the HTTP interface.
@@ -64,14 +65,14 @@
 	return m
 }
 
-// SetFault switches the misbehaviour.
+// SetFault replaces the faults.
 func (p *Plain) SetFault(f PlainFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
 }
 
-// Effects returns how often each key had its effect.
+// Effects returns the number of effects per account and key.
 func (p *Plain) Effects() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
