--- a/main.go
+++ b/main.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Command fawnwinch is a load balancer for expert-parallel model groups and the plain services beside them.
+// Command fawnwinch is a load balancer for expert-parallel model groups and the plain services
+// beside them.
 package main
 
 import (
--- a/models/account/account.go
+++ b/models/account/account.go
@@ -7,8 +7,8 @@
 // ID identifies a client account. Sharing intents and settings use the same id.
 type ID string
 
-// Share is the relative claim of one client account on a service.
-// Shares have no unit: an account with share 4 is owed twice what one with share 2 is.
+// Share is the relative entitlement of one client account to a service. Shares have no unit: an
+// account with share 4 is entitled to twice as much as one with share 2.
 type Share struct {
 	Account ID      `yaml:"account" json:"account" validate:"required"`
 	Weight  float64 `yaml:"weight" json:"weight" validate:"gt=0,lte=1000000"`
--- a/models/catalog/catalog.go
+++ b/models/catalog/catalog.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package catalog holds what the operator of a deployment has put in force: routes, services with the
-// figures of their engines, limits and the keys of client accounts.
+// Package catalog holds the configuration that the operator of a deployment has put in force:
+// routes, services with the performance figures of their engines, limits and the keys of client
+// accounts.
 package catalog
 
 import (
@@ -13,13 +14,13 @@
 	"fawnwinch.org/fawnwinch/models/service"
 )
 
-// Version numbers the catalogs of a deployment. A later catalog has a higher version.
+// Version is the version number of a deployment's catalog. A later catalog has a higher version.
 type Version uint64
 
-// Key is the secret by which a caller names its client account.
+// Key is the secret with which a caller identifies its client account.
 type Key string
 
-// Kind tells what may happen to the requests of a route.
+// Kind says whether the requests of a route may be repeated and how they are answered.
 type Kind string
 
 // The kinds of route.
@@ -28,18 +29,18 @@
 	KindSafe Kind = "safe"
 	// KindUnsafe marks requests that run at most once.
 	KindUnsafe Kind = "unsafe"
-	// KindStream marks requests that are answered with a series of events.
+	// KindStream marks requests that are answered with a stream of events.
 	KindStream Kind = "stream"
 )
 
-// Target is a service that gets a part of a route's requests.
+// Target is a service that receives a fraction of a route's requests.
 type Target struct {
 	Service service.ID
-	// Weight is the part against the sum of all weights of the route.
+	// Weight is relative to the sum of all weights of the route.
 	Weight float64
 }
 
-// Route tells what is done with the requests for a host and a path prefix.
+// Route defines how requests for a host and a path prefix are handled.
 type Route struct {
 	Name   string
 	Host   string
@@ -47,19 +48,21 @@
 	// Targets lists the services in the order of the catalog; there is at least one.
 	Targets []Target
 	Kind    Kind
-	// Timeout is the longest that a request may take.
+	// Timeout is the longest time that a request may take.
 	Timeout time.Duration
-	// Goal is the time to the whole answer, or to the first event of a stream, that callers pay full for.
+	// Goal is the latency objective: callers pay in full if the complete answer, or the first event
+	// of a stream, arrives within it.
 	Goal time.Duration
-	// PauseGoal is the longest pause between events that callers pay full for; 0 if none is given.
+	// PauseGoal is the longest pause between events for which callers pay in full; 0 if none is
+	// given.
 	PauseGoal time.Duration
-	// MaxAttempts is the number of upstreams that one request may be sent to.
+	// MaxAttempts is the maximum number of upstreams that one request may be sent to.
 	MaxAttempts int
-	// Priority ranks requests; 0 is the most urgent.
+	// Priority orders requests; 0 is the most urgent.
 	Priority int
-	// Anonymous lets callers without a key in.
+	// Anonymous admits callers without a key.
 	Anonymous bool
-	// Resumable says that a stream may be continued by another upstream after its latest event.
+	// Resumable reports whether another upstream may continue a stream after its latest event.
 	Resumable bool
 }
 
@@ -68,36 +71,39 @@
 	return r.Kind == KindSafe || (r.Kind == KindStream && r.Resumable)
 }
 
-// Engine holds the figures by which the time of a group's pass can be told. They come from the operator.
+// Engine holds the performance figures, given by the operator, from which the duration of a group's
+// pass is estimated.
 type Engine struct {
-	// Slots is the number of requests that a rank works on at once.
+	// Slots is the number of requests that a rank processes concurrently.
 	Slots int
-	// Stride is the number of tokens that each stream gets in a pass.
+	// Stride is the number of tokens that each stream receives in a pass.
 	Stride int
-	// StepMillis is the time of a token step of an idle rank.
+	// StepMillis is the duration of a token step on an idle rank.
 	StepMillis float64
-	// WriterMillis is added to a step for each stream that is being written.
+	// WriterMillis is added to a step for each stream that is generating tokens.
 	WriterMillis float64
 	// ContextMillis is added to a step for each thousand tokens of context.
 	ContextMillis float64
-	// ReadPerSecond is the number of prompt tokens that a rank reads in a second.
+	// ReadPerSecond is the number of prompt tokens that a rank processes per second.
 	ReadPerSecond float64
-	// Chunk is the most prompt tokens that are read in a step.
+	// Chunk is the maximum number of prompt tokens processed in a step.
 	Chunk int
-	// UsualPrompt is the mean number of tokens in a prompt, and UsualAnswer that in an answer; 0 if it is not told.
+	// UsualPrompt and UsualAnswer are the mean numbers of tokens in a prompt and in an answer; 0 if
+	// not given.
 	UsualPrompt, UsualAnswer float64
-	// Layers, Experts and Places are the layers with experts, the experts of each, and the experts that
-	// a rank holds of each. They are 0 for engines without experts.
+	// Layers, Experts and Places are the number of layers with experts, the number of experts in
+	// each, and the number of experts that a rank holds of each. They are 0 for engines without
+	// experts.
 	Layers, Experts, Places int
-	// MaxFresh is the number of experts of a layer that a rank may load in one change of map.
+	// MaxFresh is the maximum number of experts of a layer that a rank may load in one map change.
 	MaxFresh int
 	// ExpertMB is the size of an expert in megabytes.
 	ExpertMB float64
-	// LoadTime is the time in which a rank loads an expert; 0 if it is not told.
+	// LoadTime is how long a rank takes to load an expert; 0 if not given.
 	LoadTime time.Duration
-	// ExpertShare is the part of the work for tokens that experts do.
+	// ExpertShare is the fraction of the work for tokens that experts do.
 	ExpertShare float64
-	// FormTime is the time in which a broken group comes back.
+	// FormTime is how long a broken group takes to form again.
 	FormTime time.Duration
 }
 
@@ -112,12 +118,12 @@
 type Account struct {
 	ID   account.ID
 	Keys []Key
-	// Priority goes before that of the route if Ranked is set.
+	// Priority overrides that of the route if Ranked is set.
 	Priority int
 	Ranked   bool
 }
 
-// Catalog is one version of what is in force. It is not changed once it is made.
+// Catalog is one version of the configuration in force. It is not modified after its creation.
 type Catalog struct {
 	Version  Version
 	Routes   []Route
@@ -127,7 +133,7 @@
 	Accounts []Account
 }
 
-// Index answers questions about one catalog quickly.
+// Index provides fast look-ups in one catalog.
 type Index struct {
 	*Catalog
 	byHost    map[string][]*Route
@@ -171,5 +177,5 @@
 // Service returns a service, or nil.
 func (x *Index) Service(id service.ID) *Service { return x.byService[id] }
 
-// Closed reports whether the catalog knows keys at all; without any, no request needs one.
+// Closed reports whether the catalog has any accounts; without them, no request needs a key.
 func (x *Index) Closed() bool { return len(x.Accounts) > 0 }
--- a/models/catalog/change.go
+++ b/models/catalog/change.go
@@ -5,62 +5,62 @@
 
 import "slices"
 
-// Change tells how a catalog differs from an earlier one. Catalogs are large and mostly stay as they are: one of 1,400
-// routes takes some 200 KB, and a change of one route some 200 bytes.
+// Change is the difference between a catalog and an earlier one. Catalogs are large and change
+// little: one with 1,400 routes takes about 200 KB, and a change of one route about 200 bytes.
 type Change struct {
-	// Base is the version that the change goes on from.
+	// Base is the version that the change applies to.
 	Base Version
 	// Version, MaxBytes and Services are those of the later catalog.
 	Version  Version
 	MaxBytes int
 	Services []Service
-	// Routes and Accounts are those that are new or differ; GoneRoutes and GoneAccounts name those that are no longer there.
+	// Routes and Accounts are the entries that are new or differ; GoneRoutes and GoneAccounts name
+	// those that were removed.
 	Routes       []Route
 	GoneRoutes   []string
 	Accounts     []Account
 	GoneAccounts []string
 }
 
-// ChangeFrom returns how a catalog differs from an earlier one; false if that cannot be told, because a name stands for
-// two routes or two accounts.
+// ChangeFrom returns the change from base to c, or false if a name occurs twice among the routes or
+// the accounts of either catalog.
 func (c *Catalog) ChangeFrom(base *Catalog) (Change, bool) {
 	out := Change{Base: base.Version, Version: c.Version, MaxBytes: c.MaxBytes, Services: c.Services}
 	var ok, okAccounts bool
-	out.Routes, out.GoneRoutes, ok = differing(base.Routes, c.Routes, routeName, Route.equal)
-	out.Accounts, out.GoneAccounts, okAccounts = differing(base.Accounts, c.Accounts, accountName, Account.equal)
+	out.Routes, out.GoneRoutes, ok = diffEntries(base.Routes, c.Routes, routeName, Route.equal)
+	out.Accounts, out.GoneAccounts, okAccounts = diffEntries(base.Accounts, c.Accounts, accountName, Account.equal)
 	return out, ok && okAccounts
 }
 
-// Changed returns the later catalog of a change that goes on from this one; false if it goes on from another.
+// Changed returns the catalog that results from applying ch to c, or false if ch has another base
+// version.
 func (c *Catalog) Changed(ch *Change) (*Catalog, bool) {
 	if ch.Base != c.Version {
 		return nil, false
 	}
 	return &Catalog{
 		Version: ch.Version, MaxBytes: ch.MaxBytes, Services: ch.Services,
-		Routes:   replaced(c.Routes, ch.Routes, ch.GoneRoutes, routeName),
-		Accounts: replaced(c.Accounts, ch.Accounts, ch.GoneAccounts, accountName),
+		Routes:   applyEntries(c.Routes, ch.Routes, ch.GoneRoutes, routeName),
+		Accounts: applyEntries(c.Accounts, ch.Accounts, ch.GoneAccounts, accountName),
 	}, true
 }
 
 func routeName(r *Route) string     { return r.Name }
 func accountName(a *Account) string { return string(a.ID) }
 
-// equal reports whether two routes are the same.
 func (r Route) equal(o Route) bool {
 	return r.Name == o.Name && r.Host == o.Host && r.Prefix == o.Prefix && r.Kind == o.Kind && slices.Equal(r.Targets, o.Targets) &&
 		r.Timeout == o.Timeout && r.Goal == o.Goal && r.PauseGoal == o.PauseGoal && r.MaxAttempts == o.MaxAttempts &&
 		r.Priority == o.Priority && r.Anonymous == o.Anonymous && r.Resumable == o.Resumable
 }
 
-// equal reports whether two accounts are the same.
 func (a Account) equal(o Account) bool {
 	return a.ID == o.ID && a.Priority == o.Priority && a.Ranked == o.Ranked && slices.Equal(a.Keys, o.Keys)
 }
 
-// differing returns what is new or differs in a later list, and the names that are no longer there; false if a name
-// stands twice in one of them.
-func differing[T any](before, after []T, name func(*T) string, equal func(T, T) bool) (changed []T, gone []string, ok bool) {
+// diffEntries returns the entries of after that are new or differ, and the names that are only in
+// before. It returns false if a name occurs twice in either list.
+func diffEntries[T any](before, after []T, name func(*T) string, equal func(T, T) bool) (changed []T, gone []string, ok bool) {
 	old := make(map[string]*T, len(before))
 	for i := range before {
 		old[name(&before[i])] = &before[i]
@@ -81,8 +81,9 @@
 	return changed, gone, len(old) == len(before) && len(seen) == len(after)
 }
 
-// replaced returns a list with what has changed in it, in the place of what it replaces or at the end.
-func replaced[T any](before, changed []T, gone []string, name func(*T) string) []T {
+// applyEntries returns before without the gone entries, with changed entries in place of those they
+// replace, and with new ones at the end.
+func applyEntries[T any](before, changed []T, gone []string, name func(*T) string) []T {
 	next := make(map[string]*T, len(changed))
 	for i := range changed {
 		next[name(&changed[i])] = &changed[i]
--- a/models/catalog/change_test.go
+++ b/models/catalog/change_test.go
@@ -17,7 +17,8 @@
 	"pgregory.net/rapid"
 )
 
-// catalogs draws catalogs whose routes and accounts have few names, so that two of them share some.
+// catalogs generates catalogs with few different names for routes and accounts, so that two
+// catalogs have some in common.
 func catalogs(version Version) *rapid.Generator[*Catalog] {
 	return rapid.Custom(func(t *rapid.T) *Catalog {
 		c := &Catalog{Version: version, MaxBytes: rapid.IntRange(0, 2).Draw(t, "bytes"), Services: []Service{{ID: "s"}}}
@@ -36,25 +37,26 @@
 	})
 }
 
-// TestChange checks that a change brings a catalog to what it was made from, whatever the two catalogs are.
+// TestChange checks for arbitrary pairs of catalogs that applying the change from one to the other
+// results in the other.
 func TestChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := catalogs(3).Draw(t, "before"), catalogs(4).Draw(t, "after")
 		change, ok := after.ChangeFrom(before)
 		if !ok {
-			t.Fatal("no change between catalogs without doubled names")
+			t.Fatal("no change between catalogs without duplicate names")
 		}
 		got, ok := before.Changed(&change)
 		if !ok || !sameCatalog(got, after) {
 			t.Errorf("%+v with %+v is %+v, want %+v", before, change, got, after)
 		}
 		if _, ok := after.Changed(&change); ok {
-			t.Error("a change was taken by a catalog that it does not go on from")
+			t.Error("a change was applied to a catalog other than its base")
 		}
 	})
 }
 
-// sameCatalog reports whether two catalogs are the same but for the order of routes and accounts.
+// sameCatalog reports whether two catalogs are equal, apart from the order of routes and accounts.
 func sameCatalog(a, b *Catalog) bool {
 	sorted := func(c *Catalog) Catalog {
 		s := *c
@@ -65,37 +67,37 @@
 	return reflect.DeepEqual(sorted(a), sorted(b))
 }
 
-// TestChangeDoubled checks that catalogs in which a name stands twice have no change.
+// TestChangeDoubled checks that there is no change from or to a catalog with a duplicate name.
 func TestChangeDoubled(t *testing.T) {
-	doubled := &Catalog{Version: 2, Routes: []Route{{Name: "r", Host: "a"}, {Name: "r", Host: "b"}}}
-	if _, ok := doubled.ChangeFrom(&Catalog{Version: 1}); ok {
-		t.Error("a change to a catalog with a doubled name")
+	duplicate := &Catalog{Version: 2, Routes: []Route{{Name: "r", Host: "a"}, {Name: "r", Host: "b"}}}
+	if _, ok := duplicate.ChangeFrom(&Catalog{Version: 1}); ok {
+		t.Error("a change to a catalog with a duplicate name")
 	}
-	if _, ok := (&Catalog{Version: 3}).ChangeFrom(doubled); ok {
-		t.Error("a change from a catalog with a doubled name")
+	if _, ok := (&Catalog{Version: 3}).ChangeFrom(duplicate); ok {
+		t.Error("a change from a catalog with a duplicate name")
 	}
 }
 
-// TestEqual checks that a difference in any field of a route or an account is seen.
+// TestEqual checks that equal detects a difference in any field of a route or an account.
 func TestEqual(t *testing.T) {
 	for i := range reflect.TypeFor[Route]().NumField() {
 		var a, b Route
-		differ(reflect.ValueOf(&b).Elem().Field(i))
+		setNonZero(reflect.ValueOf(&b).Elem().Field(i))
 		if a.equal(b) || !b.equal(b) {
-			t.Errorf("a difference in Route.%s is not seen", reflect.TypeFor[Route]().Field(i).Name)
+			t.Errorf("a difference in Route.%s is not detected", reflect.TypeFor[Route]().Field(i).Name)
 		}
 	}
 	for i := range reflect.TypeFor[Account]().NumField() {
 		var a, b Account
-		differ(reflect.ValueOf(&b).Elem().Field(i))
+		setNonZero(reflect.ValueOf(&b).Elem().Field(i))
 		if a.equal(b) || !b.equal(b) {
-			t.Errorf("a difference in Account.%s is not seen", reflect.TypeFor[Account]().Field(i).Name)
+			t.Errorf("a difference in Account.%s is not detected", reflect.TypeFor[Account]().Field(i).Name)
 		}
 	}
 }
 
-// differ sets a field to something that is not its zero value.
-func differ(v reflect.Value) {
+// setNonZero sets v to a value other than its zero value.
+func setNonZero(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.String:
 		v.SetString("x")
--- a/models/expertmap/change.go
+++ b/models/expertmap/change.go
@@ -5,21 +5,23 @@
 
 import "fawnwinch.org/fawnwinch/models/group"
 
-// Change tells how a map differs from another one. A change moves few experts, and the whole map of a large group
-// takes some kilobytes for each rank it is sent to.
+// Change is the difference between two maps. A change moves few experts, while the whole map of a
+// large group takes several kilobytes for each rank that it is sent to.
 type Change struct {
-	// Base is the version of the other map.
+	// Base is the version of the map that the change applies to.
 	Base  Version
 	Slots []SlotChange
-	// Digest is that of the changed map. It tells a receiver whose base is not the sender's: an engine does not
-	// tell which slots are free, so a map that was read from engines may have its experts in other slots.
+	// Digest is that of the changed map. It detects a receiver whose base differs from the
+	// sender's: an engine does not report which slots are free, so a map that was read from engines
+	// may have its experts in other slots.
 	Digest string
 }
 
-// Deal describes the map that engines start with: the experts of each layer are dealt out to the ranks in turn.
+// Deal describes the initial map of engines: the experts of each layer are distributed round-robin
+// to the ranks.
 type Deal struct{ Ranks, Layers, Experts, Places int }
 
-// Map returns the map of a deal, under version 0.
+// Map returns the map that d describes, with version 0.
 func (d Deal) Map() *Map {
 	m := &Map{Layers: make([]Layer, d.Layers)}
 	for l := range m.Layers {
@@ -38,7 +40,7 @@
 	return m
 }
 
-// SlotChange puts an expert into a slot, or Free.
+// SlotChange assigns an expert, or Free, to a slot.
 type SlotChange struct {
 	Layer  int
 	Rank   group.Rank
@@ -46,7 +48,7 @@
 	Expert Expert
 }
 
-// ChangeFrom returns how m differs from base, or false if they do not have the same slots.
+// ChangeFrom returns the change from base to m, or false if they do not have the same slots.
 func (m *Map) ChangeFrom(base *Map) (Change, bool) {
 	c := Change{Base: base.Version, Digest: m.Digest()}
 	if len(m.Layers) != len(base.Layers) {
@@ -71,7 +73,7 @@
 	return c, true
 }
 
-// Changed returns m with a change made, under a new version, or false if m is not the map that it was made for.
+// Changed returns m with c applied, under version v, or false if m is not the base of c.
 func (m *Map) Changed(c Change, v Version) (*Map, bool) {
 	if m.Version != c.Base {
 		return nil, false
@@ -79,7 +81,7 @@
 	out := m.Clone()
 	out.Version = v
 	for _, s := range c.Slots {
-		if !out.has(s) {
+		if !out.hasSlot(s) {
 			return nil, false
 		}
 		out.Layers[s.Layer].Slots[s.Rank][s.Slot] = s.Expert
@@ -87,8 +89,8 @@
 	return out, out.Digest() == c.Digest
 }
 
-// has reports whether the map has the slot of a change.
-func (m *Map) has(s SlotChange) bool {
+// hasSlot reports whether the map has the slot of s.
+func (m *Map) hasSlot(s SlotChange) bool {
 	if s.Layer < 0 || s.Layer >= len(m.Layers) {
 		return false
 	}
--- a/models/expertmap/change_test.go
+++ b/models/expertmap/change_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestChange makes the change between two maps at a receiver's map.
+// TestChange applies the change between two maps to the map of a receiver.
 func TestChange(t *testing.T) {
 	base := &Map{Group: "g", Version: 3, Layers: []Layer{{Slots: [][]Expert{{0, 1, Free}, {2, Free, 3}}}}}
 	next := base.Clone()
@@ -26,20 +26,20 @@
 	outside := change
 	outside.Slots = append([]SlotChange{{Layer: 0, Rank: 2, Slot: 0}}, change.Slots...)
 	cases := map[string]struct {
-		at     *Map
-		change Change
-		want   bool
+		receiver *Map
+		change   Change
+		want     bool
 	}{
 		"the sender's base":               {base, change, true},
 		"an older map":                    {old, change, false},
 		"the same experts in other slots": {moved, change, false},
-		"a slot that there is not":        {base, outside, false},
+		"a slot that does not exist":      {base, outside, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			got, ok := tc.at.Changed(tc.change, 4)
+			got, ok := tc.receiver.Changed(tc.change, 4)
 			if ok != tc.want {
-				t.Fatalf("made: %t, want %t", ok, tc.want)
+				t.Fatalf("applied: %t, want %t", ok, tc.want)
 			}
 			if ok && !reflect.DeepEqual(got, next) {
 				t.Errorf("got %+v, want %+v", got, next)
@@ -50,6 +50,6 @@
 		t.Error("the base was changed")
 	}
 	if _, ok := (&Map{Layers: []Layer{{}}}).ChangeFrom(base); ok {
-		t.Error("a change between maps of other sizes")
+		t.Error("a change between maps of different sizes")
 	}
 }
--- a/models/expertmap/expertmap.go
+++ b/models/expertmap/expertmap.go
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Version numbers the expert maps of one group. A later map has a higher version.
+// Version is the version number of a group's expert map. A later map has a higher version.
 type Version uint64
 
 // Expert is the index of an expert within a layer, from 0.
@@ -23,8 +23,8 @@
 // Free marks a slot that holds no expert.
 const Free Expert = -1
 
-// Layer is the assignment for one layer: Slots[rank] lists the experts which that rank holds.
-// An expert that stands on several ranks has several replicas.
+// Layer is the assignment for one layer: Slots[rank] lists the experts which that rank holds. An
+// expert held by several ranks has several replicas.
 type Layer struct {
 	Slots [][]Expert `json:"slots"`
 }
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64(raw))
 }
 
-// Clone returns a copy that shares nothing with m.
+// Clone returns a deep copy of m.
 func (m *Map) Clone() *Map {
 	c := &Map{Group: m.Group, Version: m.Version, Layers: make([]Layer, len(m.Layers))}
 	for i, l := range m.Layers {
@@ -57,7 +57,7 @@
 	return c
 }
 
-// Loads counts the experts that a rank must load to go from one map to m.
+// Loads returns the number of experts that a rank must load to switch from one map to m.
 func (m *Map) Loads(from *Map, rank int) int {
 	n := 0
 	for i, l := range m.Layers {
@@ -76,9 +76,9 @@
 	return n
 }
 
-// RoundRobin returns the map that a group starts with: every rank holds slots experts of each layer,
-// dealt in turn, so that every expert has at least one replica.
-// It returns an error if ranks*slots is smaller than experts.
+// RoundRobin returns the map that a group starts with: every rank holds slots experts of each
+// layer, assigned round-robin, so that every expert has at least one replica. It returns an error
+// if ranks*slots is smaller than experts.
 func RoundRobin(id group.ID, layers, ranks, slots, experts int) (*Map, error) {
 	if layers <= 0 || ranks <= 0 || experts <= 0 || slots*ranks < experts {
 		return nil, fmt.Errorf("expert map of group %s: %d ranks with %d slots cannot hold %d experts in %d layers", id, ranks, slots, experts, layers)
@@ -88,14 +88,15 @@
 		m.Layers[l].Slots = make([][]Expert, ranks)
 		for i := range ranks * slots {
 			held := &m.Layers[l].Slots[i%ranks]
-			*held = append(*held, nextFree(*held, i, experts))
+			*held = append(*held, nextUnheld(*held, i, experts))
 		}
 	}
 	return m, nil
 }
 
-// nextFree returns the first expert from i on that is not held yet, or i's own if all are.
-func nextFree(held []Expert, i, experts int) Expert {
+// nextUnheld returns the first expert from i on, wrapping around, that is not held yet, or expert i
+// if all are held.
+func nextUnheld(held []Expert, i, experts int) Expert {
 	for k := range experts {
 		if e := Expert((i + k) % experts); !slices.Contains(held, e) { //nolint:gosec // experts are few
 			return e
--- a/models/intent/intent.go
+++ b/models/intent/intent.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package intent holds sharing intents, the plans made from them and their records in the log.
+// Package intent holds sharing intents, the plans derived from them and their records in the log.
 package intent
 
 import (
@@ -20,13 +20,13 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Revision numbers the accepted configurations. Revision 0 is the empty configuration.
+// Revision is the number of an accepted configuration. Revision 0 is the empty configuration.
 type Revision uint64
 
 // Digest is the fingerprint of an intent.
 type Digest string
 
-// Preference tells what a deployment weighs more when expert maps change.
+// Preference says what a deployment optimizes for when expert maps change.
 type Preference string
 
 // The preferences.
@@ -43,15 +43,16 @@
 // MaxSize is the largest intent document, in bytes.
 const MaxSize = 1 << 20
 
-// Rebalance tells how expert maps may change.
+// Rebalance controls how expert maps may change.
 type Rebalance struct {
 	Prefer Preference `yaml:"prefer" json:"prefer" validate:"required,oneof=skew cost"`
-	// QuietFrom and QuietTo bound the hours of the day (UTC) without voluntary moves; equal means none.
+	// QuietFrom and QuietTo bound the hours of the day (UTC) without voluntary moves; if they are
+	// equal, there are none.
 	QuietFrom int `yaml:"quiet_from_hour" json:"quiet_from_hour" validate:"gte=0,lte=23"`
 	QuietTo   int `yaml:"quiet_to_hour" json:"quiet_to_hour" validate:"gte=0,lte=23"`
 }
 
-// Intent is the whole configuration that operators declare.
+// Intent is the complete configuration that operators declare.
 type Intent struct {
 	Version    int               `yaml:"version" json:"version" validate:"eq=1"`
 	Deployment string            `yaml:"deployment" json:"deployment" validate:"required"`
@@ -59,7 +60,7 @@
 	Services   []service.Service `yaml:"services" json:"services" validate:"unique=ID,max=1000,dive"`
 }
 
-// ErrInvalid reports an intent that cannot be taken, with the field and its value.
+// ErrInvalid reports an invalid intent, with the field and its value.
 type ErrInvalid struct {
 	Field  string
 	Value  string
@@ -87,8 +88,8 @@
 	return in, nil
 }
 
-// decode reads strict YAML. The library panics on some malformed documents: such a document is as
-// invalid as any other.
+// decode parses strict YAML. The library panics on some malformed documents; decode returns an
+// ErrInvalid for these as well.
 func decode(raw []byte) (in *Intent, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -102,7 +103,7 @@
 	return in, nil
 }
 
-// Check returns an ErrInvalid for the first field that is not acceptable.
+// Check returns an ErrInvalid for the first invalid field.
 func (in *Intent) Check() error {
 	if err := validate.Struct(in); err != nil {
 		var fields validator.ValidationErrors
--- a/models/intent/intent_test.go
+++ b/models/intent/intent_test.go
@@ -26,7 +26,7 @@
     shares: [{account: itoshima-cu, weight: 4}, {account: dazaifu-cu, weight: 1}]
 `
 
-// A plan tells what an intent would change, and changes nothing.
+// A plan describes what an intent would change and has no side effects.
 func ExampleNewPlan() {
 	in, err := intent.Parse([]byte(valid))
 	if err != nil {
@@ -41,27 +41,27 @@
 	// Output: set services.ledger-api.shares.itoshima-cu 4 2
 }
 
-// TestParse checks that bad input names the field and its value.
+// TestParse checks that the error for an invalid intent names the field and its value.
 func TestParse(t *testing.T) {
-	cases := map[string]struct{ from, to, say string }{
-		"unknown key":            {"deployment:", "deploymnet:", "deploymnet"},
-		"wrong version":          {"version: 1", "version: 2", "Version"},
-		"no such preference":     {"prefer: cost", "prefer: luck", `"luck"`},
-		"hour out of range":      {"quiet_to_hour: 22", "quiet_to_hour: 25", `"25"`},
-		"upstream twice":         {"ledger-1, ledger-2", "ledger-1, ledger-1", "unique"},
-		"negative share":         {"weight: 4", "weight: -4", `"-4"`},
-		"account twice":          {"dazaifu-cu", "itoshima-cu", "unique"},
-		"path without slash":     {"/v1/holds", "v1/holds", `"v1/holds"`},
-		"groups in a plain one":  {"upstreams: [ledger-1, ledger-2]", "groups: [{id: g, ranks: [r]}]", "groups"},
-		"no upstreams":           {"upstreams: [ledger-1, ledger-2]", "upstreams: []", "no upstreams"},
-		"closes what is not its": {"kind: plain", "kind: plain\n    closed: [other]", `"other"`},
+	cases := map[string]struct{ from, to, want string }{
+		"unknown key":             {"deployment:", "deploymnet:", "deploymnet"},
+		"wrong version":           {"version: 1", "version: 2", "Version"},
+		"unknown preference":      {"prefer: cost", "prefer: luck", `"luck"`},
+		"hour out of range":       {"quiet_to_hour: 22", "quiet_to_hour: 25", `"25"`},
+		"upstream twice":          {"ledger-1, ledger-2", "ledger-1, ledger-1", "unique"},
+		"negative share":          {"weight: 4", "weight: -4", `"-4"`},
+		"account twice":           {"dazaifu-cu", "itoshima-cu", "unique"},
+		"path without slash":      {"/v1/holds", "v1/holds", `"v1/holds"`},
+		"groups in a plain one":   {"upstreams: [ledger-1, ledger-2]", "groups: [{id: g, ranks: [r]}]", "groups"},
+		"no upstreams":            {"upstreams: [ledger-1, ledger-2]", "upstreams: []", "no upstreams"},
+		"unknown closed upstream": {"kind: plain", "kind: plain\n    closed: [other]", `"other"`},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			_, err := intent.Parse([]byte(strings.Replace(valid, tc.from, tc.to, 1)))
 			var bad intent.ErrInvalid
-			if !errors.As(err, &bad) || !strings.Contains(err.Error(), tc.say) {
-				t.Errorf("error %v, want one that says %q", err, tc.say)
+			if !errors.As(err, &bad) || !strings.Contains(err.Error(), tc.want) {
+				t.Errorf("error %v, want one that contains %q", err, tc.want)
 			}
 		})
 	}
@@ -84,7 +84,7 @@
 	}
 }
 
-// FuzzParse checks that what is accepted can be planned, encoded and read back.
+// FuzzParse checks that every accepted intent can be planned, encoded and decoded.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(valid))
 	f.Add([]byte("version: 1\nservices: [{}]"))
@@ -100,7 +100,7 @@
 		}
 		back, err := intent.DecodeRecord(data)
 		if err != nil || back.Intent.Digest() != in.Digest() {
-			t.Fatalf("read back: %v", err)
+			t.Fatalf("decode: %v", err)
 		}
 		if p := intent.NewPlan(intent.State{Digest: in.Digest(), Intent: in}, back.Intent); len(p.Changes) != 0 {
 			t.Fatalf("changes against itself: %v", p.Changes)
--- a/models/intent/plan.go
+++ b/models/intent/plan.go
@@ -13,7 +13,7 @@
 	"fawnwinch.org/fawnwinch/models/upstream"
 )
 
-// Action tells what a change does to a field.
+// Action is what a change does to a field.
 type Action string
 
 // The actions of a change.
@@ -31,21 +31,21 @@
 	After  string `json:"after,omitempty"`
 }
 
-// Cost estimates what a plan would disturb.
+// Cost estimates the disruption that a plan would cause.
 type Cost struct {
-	// UpstreamsClosed counts upstreams that would get no more new work.
+	// UpstreamsClosed counts upstreams that would receive no more new work.
 	UpstreamsClosed int `json:"upstreams_closed"`
-	// UpstreamsOpened counts upstreams that would begin to get work.
+	// UpstreamsOpened counts upstreams that would start to receive work.
 	UpstreamsOpened int `json:"upstreams_opened"`
-	// AccountsAffected counts client accounts whose part of some service changes.
+	// AccountsAffected counts client accounts whose share of any service changes.
 	AccountsAffected int `json:"accounts_affected"`
 }
 
-// Plan tells what a proposed intent would change. Making a plan changes nothing.
+// Plan describes what a proposed intent would change. Making a plan has no side effects.
 type Plan struct {
 	Base       Revision `json:"base"`
 	BaseDigest Digest   `json:"base_digest"`
-	// Change fingerprints base and proposal together; a confirmation must name it.
+	// Change identifies base and proposal together; a confirmation must contain it.
 	Change  Digest   `json:"change"`
 	Changes []Change `json:"changes"`
 	Cost    Cost     `json:"cost"`
@@ -140,15 +140,15 @@
 }
 
 func estimate(before, after *Intent) Cost {
-	was, will := openUpstreams(before), openUpstreams(after)
+	openBefore, openAfter := openUpstreams(before), openUpstreams(after)
 	var c Cost
-	for u := range was {
-		if !will[u] {
+	for u := range openBefore {
+		if !openAfter[u] {
 			c.UpstreamsClosed++
 		}
 	}
-	for u := range will {
-		if !was[u] {
+	for u := range openAfter {
+		if !openBefore[u] {
 			c.UpstreamsOpened++
 		}
 	}
--- a/models/intent/record.go
+++ b/models/intent/record.go
@@ -8,7 +8,7 @@
 	"fmt"
 )
 
-// RecordKind tells what a record of the configuration stream is.
+// RecordKind is the kind of a record in the configuration stream.
 type RecordKind string
 
 // The kinds of record.
@@ -22,7 +22,8 @@
 // RecordVersion is the version of the record format this program writes and reads.
 const RecordVersion = 1
 
-// ConfirmID identifies one confirmation. An operator who got no answer asks for it by this id.
+// ConfirmID identifies one confirmation. An operator who received no answer queries the result by
+// this ID.
 type ConfirmID string
 
 // Record is one entry of the configuration stream.
@@ -30,7 +31,7 @@
 	Version int        `json:"version"`
 	Kind    RecordKind `json:"kind"`
 	ID      ConfirmID  `json:"id,omitempty"`
-	// Revision is the revision that the intent becomes or, in a checkpoint, has.
+	// Revision is the number that the intent is to get or, in a checkpoint, already has.
 	Revision Revision `json:"revision"`
 	// BaseDigest is the digest of revision Revision-1 in a confirmation.
 	BaseDigest Digest `json:"base_digest,omitempty"`
@@ -39,10 +40,11 @@
 	Intent *Intent `json:"intent"`
 }
 
-// ErrBadRecord reports a record that cannot be read.
+// ErrBadRecord reports a record that cannot be decoded.
 type ErrBadRecord struct {
 	Reason string
-	// Later says that a later program wrote the record: others may understand it.
+	// Later reports whether a newer version of the program wrote the record; newer processes may
+	// understand it.
 	Later bool
 }
 
@@ -57,7 +59,7 @@
 	return raw, nil
 }
 
-// DecodeRecord reads a record and checks its form, not its place in the log.
+// DecodeRecord decodes a record and checks its contents, but not its position in the log.
 func DecodeRecord(raw []byte) (*Record, error) {
 	var r Record
 	if err := json.Unmarshal(raw, &r); err != nil {
--- a/models/request/digest_test.go
+++ b/models/request/digest_test.go
@@ -17,14 +17,15 @@
 	// Output: true 7b011568a3e48457
 }
 
-// TestDigest checks that texts and body do not run into each other.
+// TestDigest checks that moving text across the boundaries between texts and body changes the
+// digest.
 func TestDigest(t *testing.T) {
 	base := request.NewDigest([]byte("c"), "a", "b")
 	for name, other := range map[string]request.Digest{
-		"another body":             request.NewDigest([]byte("d"), "a", "b"),
-		"texts that run together":  request.NewDigest([]byte("c"), "ab"),
-		"a text that is missing":   request.NewDigest([]byte("c"), "a"),
-		"a body that takes a text": request.NewDigest([]byte("bc"), "a"),
+		"another body":              request.NewDigest([]byte("d"), "a", "b"),
+		"texts joined into one":     request.NewDigest([]byte("c"), "ab"),
+		"a text that is missing":    request.NewDigest([]byte("c"), "a"),
+		"a text joined to the body": request.NewDigest([]byte("bc"), "a"),
 	} {
 		if other == base {
 			t.Errorf("%s: the same digest", name)
--- a/models/request/request.go
+++ b/models/request/request.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package request holds what every process knows about one caller's request.
+// Package request holds what all processes share about a caller's request: identifiers, outcomes,
+// headers and limits.
 package request
 
 import (
@@ -16,16 +17,16 @@
 // ID identifies one request of a caller. The upstream's answer must echo it.
 type ID string
 
-// Key is the idempotency key a caller gives to a request that may not be repeated.
-// Keys of different client accounts never meet.
+// Key is the idempotency key that a caller gives to a request that may not be repeated. Equal keys
+// of different client accounts do not collide.
 type Key string
 
-// Outcome is what a caller may rely on when it has its answer.
+// Outcome says what a caller may rely on once it has its answer.
 type Outcome string
 
-// The three outcomes.
+// The outcomes.
 const (
-	// OutcomeAnswered means that the body is the upstream's whole answer.
+	// OutcomeAnswered means that the body is the upstream's complete answer.
 	OutcomeAnswered Outcome = "answered"
 	// OutcomeNotRun means that the request has not run and will not run.
 	OutcomeNotRun Outcome = "not-run"
@@ -39,7 +40,7 @@
 	HeaderID = "X-Request-Id"
 	// HeaderOutcome carries the Outcome of every answer.
 	HeaderOutcome = "Fawnwinch-Outcome"
-	// HeaderReason says in a word why a request was not run or is unknown.
+	// HeaderReason carries a one-word reason why a request was not run or its outcome is unknown.
 	HeaderReason = "Fawnwinch-Reason"
 	// HeaderKey carries the idempotency key of a request that may not be repeated.
 	HeaderKey = "Idempotency-Key"
@@ -61,11 +62,11 @@
 	MaxBody = 8 << 20
 	// MaxKey is the longest idempotency key, in bytes.
 	MaxKey = 200
-	// DefaultBudget is the time a request gets when its caller names none.
+	// DefaultBudget is the time budget of a request whose caller gives none.
 	DefaultBudget = 30 * time.Second
 )
 
-// Slice is the part of a service's key space a key falls into.
+// Slice is the part of a service's key space that a key falls into.
 type Slice int
 
 // SliceOf returns the slice of a key of a client account among n slices.
@@ -77,7 +78,7 @@
 	return Slice(h.Sum64() % uint64(n)) //nolint:gosec // n is a small positive constant
 }
 
-// ErrBadKey reports an idempotency key that cannot be taken.
+// ErrBadKey reports an invalid idempotency key.
 type ErrBadKey struct {
 	Key    Key
 	Reason string
@@ -87,7 +88,7 @@
 	return fmt.Sprintf("header %s: value %q %s", HeaderKey, string(e.Key), e.Reason)
 }
 
-// CheckKey returns an ErrBadKey if k cannot serve as an idempotency key.
+// CheckKey returns an ErrBadKey if k is not a valid idempotency key.
 func CheckKey(k Key) error {
 	if k == "" {
 		return ErrBadKey{Key: k, Reason: "is missing: this route may not be repeated and needs one"}
--- a/models/service/service.go
+++ b/models/service/service.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package service describes the services that upstreams offer together.
+// Package service describes services, each provided by one or more upstreams.
 package service
 
 import (
@@ -13,7 +13,7 @@
 // ID identifies a service.
 type ID string
 
-// Kind tells how a service is routed.
+// Kind determines how a service is routed.
 type Kind string
 
 // The kinds of service.
@@ -24,7 +24,7 @@
 	KindPlain Kind = "plain"
 )
 
-// Route names requests by method and path prefix.
+// Route selects requests by method and path prefix.
 type Route struct {
 	Method string `yaml:"method" json:"method" validate:"required,oneof=GET HEAD POST PUT PATCH DELETE"`
 	Path   string `yaml:"path" json:"path" validate:"required,startswith=/"`
@@ -46,9 +46,9 @@
 	Upstreams []upstream.ID `yaml:"upstreams,omitempty" json:"upstreams,omitempty" validate:"unique,dive,required"`
 	// NonRepeatable lists the routes whose requests run at most once.
 	NonRepeatable []Route `yaml:"non_repeatable,omitempty" json:"non_repeatable,omitempty" validate:"dive"`
-	// Closed lists upstreams that get no new work.
+	// Closed lists upstreams that receive no new work.
 	Closed []upstream.ID `yaml:"closed,omitempty" json:"closed,omitempty" validate:"unique"`
-	// Shares states who is owed what part of the service.
+	// Shares lists the relative entitlements of client accounts to the service.
 	Shares []account.Share `yaml:"shares" json:"shares" validate:"min=1,max=10000,unique=Account,dive"`
 }
 
--- a/models/upstream/notice.go
+++ b/models/upstream/notice.go
@@ -5,18 +5,21 @@
 
 import "time"
 
-// Rate is a number of requests a second.
+// Rate is a number of requests per second.
 type Rate float64
 
-// Notice is what an upstream says of itself in the head of an answer.
+// Notice is what an upstream reports about itself in the headers of an answer.
 type Notice struct {
-	// Leaving says that the upstream takes no more new work.
+	// Leaving reports whether the upstream accepts no more new work.
 	Leaving bool
-	// Rest is how long it wants no requests from the router that it has turned away; 0 if it does not say.
+	// Rest is how long the upstream wants no requests from the router whose request it rejected; 0
+	// if not given.
 	Rest time.Duration
-	// Limited says that it names a limit: it takes Limit from all routers together for as long as its answers say so.
+	// Limited reports whether the upstream names a limit: it accepts Limit from all routers
+	// together for as long as its answers say so.
 	Limited bool
 	Limit   Rate
-	// Unread is the error of a field that could not be read, or nil. That the field is missing then says nothing.
+	// Unread is the error of a field that could not be parsed, or nil. If it is set, the absence of
+	// that field has no meaning.
 	Unread error
 }
--- a/models/upstream/upstream.go
+++ b/models/upstream/upstream.go
@@ -13,24 +13,26 @@
 // A restarted agent has another incarnation.
 type Incarnation string
 
-// State is the condition an upstream is in as its agent reports it.
+// State is the condition of an upstream as its agent reports it.
 type State string
 
 // The states of an upstream.
 const (
-	// StateReady means that the upstream takes new work.
+	// StateReady means that the upstream accepts new work.
 	StateReady State = "ready"
-	// StateLeaving means that the upstream finishes its work and takes no more.
+	// StateLeaving means that the upstream finishes its work and accepts no more.
 	StateLeaving State = "leaving"
 	// StateDown means that the agent cannot reach its upstream.
 	StateDown State = "down"
 )
 
-// Born is when an upstream started, as it says itself, in Unix milliseconds; 0 if it does not say. An upstream may start again
-// under the ID that it had: with a later Born it knows nothing of before, and its counters begin anew.
+// Born is the start time of an upstream in Unix milliseconds, as it reports itself; 0 if it reports
+// none. An upstream may restart under the same ID: a later Born means that it has lost its state
+// and its counters start from zero.
 type Born int64
 
-// Run names one run of an upstream: what was seen of another run under the same ID says nothing of it.
+// Run identifies one run of an upstream. What was observed of another run under the same ID does
+// not apply to it.
 type Run struct {
 	ID   ID
 	Born Born
@@ -39,15 +41,15 @@
 // Instance is an upstream as the platform lists it.
 type Instance struct {
 	ID ID
-	// Born tells the runs of an upstream apart.
+	// Born distinguishes the runs of an upstream.
 	Born       Born
 	Service    string
 	Address    string
 	DataCentre vm.DataCentre
-	// Slots is the number of requests it works on at once.
+	// Slots is the number of requests that it processes concurrently.
 	Slots int
 	State State
 }
 
-// Run returns the run that the entry is of.
+// Run returns the run that the entry describes.
 func (i Instance) Run() Run { return Run{ID: i.ID, Born: i.Born} }
--- a/models/vm/vm.go
+++ b/models/vm/vm.go
@@ -10,7 +10,7 @@
 // DataCentre names a data centre.
 type DataCentre string
 
-// Role tells which fawnwinch process runs on a VM.
+// Role says which fawnwinch process runs on a VM.
 type Role string
 
 // The roles of a VM.
@@ -24,20 +24,21 @@
 // State is the state of a VM in the platform's list.
 type State string
 
-// The states of a VM. A VM that is gone is not listed.
+// The states of a VM. A removed VM is not listed.
 const (
-	// StateLive marks a VM that runs.
+	// StateLive marks a running VM.
 	StateLive State = "live"
-	// StateLeaving marks a VM that will be taken away.
+	// StateLeaving marks a VM that will be removed.
 	StateLeaving State = "leaving"
 )
 
-// VM is one entry of the platform's list. The list lags behind the truth.
+// VM is one entry of the platform's list. The list lags behind the actual state.
 type VM struct {
 	ID         ID         `json:"id"`
 	DataCentre DataCentre `json:"data_centre"`
 	Role       Role       `json:"role"`
 	State      State      `json:"state"`
-	// RPC is the host:port on which the fawnwinch process of this VM takes calls of other processes.
+	// RPC is the host:port on which the fawnwinch process of this VM accepts RPC calls from other
+	// processes.
 	RPC string `json:"rpc"`
 }
