--- a/modules/clock/clock.go
+++ b/modules/clock/clock.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package clock tells the time by which processes decide: it counts the seconds in which the VM was suspended, and does not follow
-// steps of the time of day. The steady clock of package time stands still during a suspension, so ages and leases that go by it
-// are too young afterwards.
+// Package clock provides the time on which processes base their decisions. It includes the time
+// during which the VM was suspended, and ignores steps of the wall clock. The monotonic clock of
+// package time stops during a suspension, so ages and leases measured by it are too young
+// afterwards.
 package clock
 
 import (
@@ -11,37 +12,39 @@
 	"time"
 )
 
-// Clock tells the time.
+// Clock provides the current time.
 type Clock interface {
 	Now() time.Time
 }
 
-// current holds the clock of the process.
+// current is the clock of the process.
 var current atomic.Pointer[Clock]
 
 func init() { Use(NewSystem()) }
 
-// Use makes a clock that of the process, and returns a function that brings back the one before. Tests use it.
+// Use sets the clock of the process and returns a function that restores the previous one. Tests
+// use it.
 func Use(c Clock) (restore func()) {
 	before := current.Swap(&c)
 	return func() { current.Store(before) }
 }
 
-// Now returns the present time. Differences of two such times count suspensions.
+// Now returns the current time. Differences between two such times include suspensions.
 func Now() time.Time { return (*current.Load()).Now() }
 
-// Since returns the time that has passed since t, which is one of this package's times.
+// Since returns the time elapsed since t, which must be a time of this package.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time that is left until t, which is one of this package's times.
+// Until returns the time left until t, which must be a time of this package.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Suspended returns for how long the VM was suspended since the process began; false if its clock cannot tell.
+// Suspended returns how long the VM has been suspended since the process started, or false if its
+// clock cannot measure suspensions.
 func Suspended() (time.Duration, bool) {
 	s, ok := (*current.Load()).(*System)
-	if !ok || s.blind {
+	if !ok || s.noBootClock {
 		return 0, false
 	}
-	s.Look()
+	s.Update()
 	return s.Suspended(), true
 }
--- a/modules/clock/clocktest/clocktest.go
+++ b/modules/clock/clocktest/clocktest.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package clocktest suspends the VM of a test: the clock of the process goes on, and no timer does.
+// Package clocktest simulates suspensions of the VM in tests: the clock of the process advances,
+// but timers do not.
 package clocktest
 
 import (
@@ -14,20 +15,21 @@
 
 // VM is the clock of a VM that can be suspended.
 type VM struct {
-	running   *clock.System
+	system    *clock.System
 	suspended atomic.Int64
 }
 
-// New makes the clock of a VM that of the process until the test ends. Tests that use it must not run in parallel.
+// New makes a new VM clock the clock of the process until the test ends. Tests that use it must not
+// run in parallel.
 func New(t testing.TB) *VM {
 	t.Helper()
-	v := &VM{running: clock.NewSystem()}
+	v := &VM{system: clock.NewSystem()}
 	t.Cleanup(clock.Use(v))
 	return v
 }
 
 // Now implements clock.Clock.
-func (v *VM) Now() time.Time { return v.running.Now().Add(time.Duration(v.suspended.Load())) }
+func (v *VM) Now() time.Time { return v.system.Now().Add(time.Duration(v.suspended.Load())) }
 
-// Suspend has the VM suspended for some time, in which nothing runs.
+// Suspend simulates a suspension of the VM for d.
 func (v *VM) Suspend(d time.Duration) { v.suspended.Add(int64(d)) }
--- a/modules/clock/deadline.go
+++ b/modules/clock/deadline.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// WithDeadline returns a context that ends at one of this package's times. Its timer stands still while the VM is suspended.
+// WithDeadline returns a context that ends at a time of this package. Its timer stops while the VM
+// is suspended.
 func WithDeadline(ctx context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, Until(at))
 }
--- a/modules/clock/system_test.go
+++ b/modules/clock/system_test.go
@@ -9,85 +9,89 @@
 	"time"
 )
 
-// wall is the time of day at which the machines of the tests begin.
+// wall is the initial wall-clock time of the simulated machines.
 var wall = time.Date(2026, 12, 3, 6, 0, 0, 0, time.UTC)
 
-// fake is a machine whose clocks the test moves.
+// fake is a machine whose clocks the test advances.
 type fake struct {
-	// day, ran and up are how far the time of day, the steady clock and the time since the start have come.
-	day, ran, up time.Duration
-	err          error
+	// wallElapsed, monotonicElapsed and bootElapsed are how far the wall, monotonic and boot clocks
+	// have advanced.
+	wallElapsed, monotonicElapsed, bootElapsed time.Duration
+	err                                        error
 }
 
-func (f *fake) read() (time.Time, time.Duration) { return wall.Add(f.day), f.ran }
+func (f *fake) read() (time.Time, time.Duration) { return wall.Add(f.wallElapsed), f.monotonicElapsed }
 
-func (f *fake) boot() (time.Duration, error) { return f.up, f.err }
+func (f *fake) boot() (time.Duration, error) { return f.bootElapsed, f.err }
 
-// TestLook checks that suspensions count, however often it is looked, and that nothing else does.
+// TestLook checks that suspensions count once, however often they are measured, and that nothing
+// else counts.
 func TestLook(t *testing.T) {
-	type move struct{ ran, suspended time.Duration }
+	type move struct{ elapsed, suspended time.Duration }
 	cases := map[string]struct {
 		moves []move
 		err   error
 		want  time.Duration
 	}{
-		"nothing happens":         {[]move{{ran: time.Minute}}, nil, time.Minute},
-		"one suspension":          {[]move{{ran: time.Second, suspended: 6 * time.Second}}, nil, 7 * time.Second},
-		"two suspensions":         {[]move{{time.Second, 6 * time.Second}, {time.Second, time.Minute}}, nil, 68 * time.Second},
-		"clocks read apart":       {[]move{{time.Second, time.Millisecond}, {time.Second, time.Microsecond}}, nil, 2 * time.Second},
-		"the machine cannot tell": {[]move{{time.Second, 6 * time.Second}}, errors.New("no such clock"), time.Second},
+		"nothing happens":        {[]move{{elapsed: time.Minute}}, nil, time.Minute},
+		"one suspension":         {[]move{{elapsed: time.Second, suspended: 6 * time.Second}}, nil, 7 * time.Second},
+		"two suspensions":        {[]move{{time.Second, 6 * time.Second}, {time.Second, time.Minute}}, nil, 68 * time.Second},
+		"clocks read separately": {[]move{{time.Second, time.Millisecond}, {time.Second, time.Microsecond}}, nil, 2 * time.Second},
+		"no boot clock":          {[]move{{time.Second, 6 * time.Second}}, errors.New("no such clock"), time.Second},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := &fake{up: time.Hour, err: c.err}
+			f := &fake{bootElapsed: time.Hour, err: c.err}
 			s := newSystem(f)
 			begun := s.Now()
 			for _, m := range c.moves {
-				f.ran += m.ran
-				f.up += m.ran + m.suspended
-				s.Look()
-				s.Look()
+				f.monotonicElapsed += m.elapsed
+				f.bootElapsed += m.elapsed + m.suspended
+				s.Update()
+				s.Update()
 			}
 			if got := s.Now().Sub(begun); got != c.want {
-				t.Errorf("%s have passed, want %s", got, c.want)
+				t.Errorf("%s elapsed, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// TestNotices checks that a suspension is noticed by the first question for the time, because the time of day has moved.
+// TestNotices checks that the first call of Now after a suspension detects it, because the wall
+// clock has moved.
 func TestNotices(t *testing.T) {
 	cases := map[string]struct {
-		day, up, want time.Duration
+		wallElapsed, bootElapsed, want time.Duration
 	}{
-		"suspended":                   {day: 7 * time.Second, up: 7 * time.Second, want: 7 * time.Second},
-		"the time of day was stepped": {day: time.Hour, up: time.Second, want: time.Second},
-		"stepped back":                {day: -time.Hour, up: time.Second, want: time.Second},
+		"suspended":                  {wallElapsed: 7 * time.Second, bootElapsed: 7 * time.Second, want: 7 * time.Second},
+		"wall clock stepped forward": {wallElapsed: time.Hour, bootElapsed: time.Second, want: time.Second},
+		"wall clock stepped back":    {wallElapsed: -time.Hour, bootElapsed: time.Second, want: time.Second},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			f := &fake{up: time.Hour}
+			f := &fake{bootElapsed: time.Hour}
 			s := newSystem(f)
 			begun := s.Now()
-			f.ran, f.day, f.up = time.Second, c.day, f.up+c.up
+			f.monotonicElapsed, f.wallElapsed, f.bootElapsed = time.Second, c.wallElapsed, f.bootElapsed+c.bootElapsed
 			if got := s.Now().Sub(begun); got != c.want {
-				t.Errorf("%s have passed, want %s", got, c.want)
+				t.Errorf("%s elapsed, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// TestMachine checks that the clock of the machine that runs the test agrees with its steady clock, and that it can tell suspensions.
+// TestMachine checks that the clock of the machine that runs the test agrees with its monotonic
+// clock, and that its boot clock can be read.
 func TestMachine(t *testing.T) {
 	s := NewSystem()
-	if s.blind {
-		t.Fatal("the clock that counts suspensions cannot be read")
+	if s.noBootClock {
+		t.Fatal("the boot clock cannot be read")
 	}
 	begun, steady := s.Now(), time.Now()
 	for range 1000 {
-		s.Look()
+		s.Update()
 	}
 	if apart := (s.Now().Sub(begun) - time.Since(steady)).Abs(); apart > 5*time.Millisecond {
-		t.Errorf("the clock is %s apart from the steady clock", apart)
+		t.Errorf("the clock differs by %s from the monotonic clock", apart)
 	}
 }
--- a/modules/httpconn/conn.go
+++ b/modules/httpconn/conn.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package httpconn holds client connections for HTTP/1.1 over which nothing is ever sent a second time
-// by the library: who sends decides what may be repeated.
+// Package httpconn holds client connections for HTTP/1.1. It never sends a request a second time by
+// itself: the caller decides what may be repeated.
 package httpconn
 
 import (
@@ -22,15 +22,16 @@
 const (
 	// dialTimeout bounds a connection attempt to an upstream. Data centres are a few milliseconds apart.
 	dialTimeout = 400 * time.Millisecond
-	// unackedTimeout is how long sent bytes may stay without an acknowledgement before the connection is
-	// given up: a VM without power says nothing.
+	// unackedTimeout is how long sent bytes may remain unacknowledged before the connection is
+	// aborted: a VM that lost power sends nothing, not even a reset.
 	unackedTimeout = 1500 * time.Millisecond
-	// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, in milliseconds.
+	// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, whose value is in milliseconds.
 	tcpUserTimeout = 18
-	// inlineBody is the largest request that is written before the answer is looked at, in bytes. It fits
-	// the windows of the links; a longer one is written beside, so that an early answer is seen.
-	inlineBody = 16 << 10
-	readBuffer = 4 << 10
+	// maxInlineWrite is the largest request, in bytes, that is written before the answer is read. It
+	// fits the windows of the links; a larger one is written in a separate goroutine, so that an
+	// early answer is noticed.
+	maxInlineWrite = 16 << 10
+	readBuffer     = 4 << 10
 )
 
 // Conn is one connection. It carries one request at a time.
@@ -39,16 +40,17 @@
 
 	conn   net.Conn
 	reader *bufio.Reader
-	// idleUntil is the time from which the peer may close the resting connection.
+	// idleUntil is the time from which the peer may close the idle connection.
 	idleUntil time.Time
 	written   chan error
 }
 
-// Dial opens a connection. After an error nothing was sent.
+// Dial opens a connection. If it returns an error, nothing was sent.
 func Dial(ctx context.Context, address string) (*Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
-			// Without the option a silent peer is noticed later; nothing else depends on it.
+			// Without the option, an unresponsive peer is detected later; nothing else depends on
+			// it.
 			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
 		})
 	}}
@@ -59,22 +61,22 @@
 	return &Conn{Address: address, conn: c, reader: bufio.NewReaderSize(c, readBuffer)}, nil
 }
 
-// Request is what is sent. Header must not contain Host, Content-Length or Transfer-Encoding.
+// Request is an HTTP request. Header must not contain Host, Content-Length or Transfer-Encoding.
 type Request struct {
 	Method string
-	// Target is the path and query as the caller gave them.
+	// Target is the path and query as received from the caller.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// encode writes the request down. Bodies always have a length.
+// encode returns the request in wire format. Bodies always have a Content-Length.
 func (r *Request) encode() []byte {
 	var b bytes.Buffer
 	b.Grow(len(r.Body) + 1024)
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	_ = r.Header.Write(&b) // a Buffer takes everything
+	_ = r.Header.Write(&b) // writing to a Buffer never fails
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
@@ -83,11 +85,11 @@
 	return b.Bytes()
 }
 
-// Send sends a request. After an error some of it may have arrived.
+// Send sends a request. If it returns an error, part of the request may have arrived.
 func (c *Conn) Send(r *Request) error {
 	raw := r.encode()
 	c.written = make(chan error, 1)
-	if len(raw) <= inlineBody {
+	if len(raw) <= maxInlineWrite {
 		_, err := c.conn.Write(raw)
 		c.written <- err
 		if err != nil {
@@ -102,21 +104,22 @@
 	return nil
 }
 
-// sentWhole reports whether the latest request has gone out completely, or there was none.
-func (c *Conn) sentWhole() bool {
+// sentCompletely reports whether the latest request was sent completely, or there was none.
+func (c *Conn) sentCompletely() bool {
 	if c.written == nil {
 		return true
 	}
 	select {
 	case err := <-c.written:
-		c.written <- err // it may be asked again
+		c.written <- err // kept for the next call
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// Receive reads the head of the next answer. The caller reads the body to its end before it asks again.
+// Receive reads the header of the next answer. The caller must read the body to its end before the
+// next call.
 func (c *Conn) Receive(method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -132,9 +135,9 @@
 // Close ends the connection.
 func (c *Conn) Close() { _ = c.conn.Close() }
 
-// quiet reports whether a resting connection is still open and nothing has arrived on it: bytes that
-// nobody asked for belong to no request.
-func (c *Conn) quiet() bool {
+// isIdle reports whether the connection is open and nothing has arrived on it since the last
+// answer: unsolicited bytes belong to no request.
+func (c *Conn) isIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -146,47 +149,49 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, rerr := syscall.Read(int(fd), b[:])
-		quiet = rerr == syscall.EAGAIN
+		idle = rerr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
-// Reusable reports whether another request may follow on the connection: the answer was read to its
-// end, the request went out whole, and neither side wants to close. Rest is how long it may rest.
+// Reusable reports whether the connection may carry another request, provided that the answer was
+// read to its end and the request was sent completely: neither side wants to close. Rest is how
+// long the connection may stay idle.
 func Reusable(resp *http.Response) (rest time.Duration, ok bool) {
 	if resp.Close || (resp.ContentLength < 0 && len(resp.TransferEncoding) == 0) {
 		return 0, false
 	}
-	return keepAlive(resp.Header.Get("Keep-Alive")), true
+	return keepAliveTimeout(resp.Header.Get("Keep-Alive")), true
 }
 
 const (
-	// defaultRest is how long a connection may rest when the peer gives no time.
-	defaultRest = 4 * time.Second
-	// restMargin is taken off the time that the peer gives, so that a request does not cross its close.
-	restMargin = 300 * time.Millisecond
+	// defaultIdleTime is how long a connection may stay idle if the peer gives no timeout.
+	defaultIdleTime = 4 * time.Second
+	// idleMargin is subtracted from the peer's timeout, so that a request does not cross the peer's
+	// close.
+	idleMargin = 300 * time.Millisecond
 )
 
-// keepAlive reads the time-out out of a Keep-Alive header.
-func keepAlive(value string) time.Duration {
+// keepAliveTimeout returns how long a connection may stay idle according to a Keep-Alive header.
+func keepAliveTimeout(value string) time.Duration {
 	for part := range strings.SplitSeq(value, ",") {
 		name, number, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if seconds, err := strconv.Atoi(number); err == nil {
-			return time.Duration(seconds)*time.Second - restMargin
+			return time.Duration(seconds)*time.Second - idleMargin
 		}
 	}
-	return defaultRest
+	return defaultIdleTime
 }
 
-// Drain reads and drops the rest of a body of at most limit bytes.
+// Drain reads and discards the remaining body of at most limit bytes.
 func Drain(resp *http.Response, limit int64) error {
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, limit+1))
 	if err != nil {
--- a/modules/httpconn/httpconn_test.go
+++ b/modules/httpconn/httpconn_test.go
@@ -34,8 +34,8 @@
 	if body, err := io.ReadAll(resp.Body); err != nil || string(body) != "ok" {
 		t.Fatalf("body %q, %v", body, err)
 	}
-	if rest, ok := httpconn.Reusable(resp); ok {
-		p.Give(time.Now(), c, rest)
+	if idleTime, ok := httpconn.Reusable(resp); ok {
+		p.Give(time.Now(), c, idleTime)
 	}
 	return reused
 }
@@ -81,7 +81,7 @@
 				}
 				return
 			}
-			// What the peer did after its answer arrives some time later.
+			// The peer's action after its answer takes some time to arrive.
 			for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 				conn, reused, err := p.Take(t.Context(), time.Now(), address)
 				if err != nil {
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestEarlyAnswer checks that an answer which comes before a long request was read is seen, and that the
-// connection carries no other request.
+// TestEarlyAnswer checks that an answer sent before a long request was read is received, and that
+// the connection is not reused.
 func TestEarlyAnswer(t *testing.T) {
 	address := httpxtest.Serve(t, func(c net.Conn) { _, _ = io.WriteString(c, answer) })
 	p := httpconn.NewPool()
@@ -126,7 +126,7 @@
 	}
 }
 
-// TestUnreached checks that an address where nobody listens is an error at once.
+// TestUnreached checks that connecting to an address without a listener fails at once.
 func TestUnreached(t *testing.T) {
 	p := httpconn.NewPool()
 	if c, _, err := p.Take(t.Context(), time.Now(), "127.0.0.1:1"); err == nil || c != nil || p.Opened.Load() != 0 {
--- a/modules/httpconn/pool.go
+++ b/modules/httpconn/pool.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// maxIdle bounds the connections that rest for one address.
+// maxIdle bounds the idle connections per address.
 const maxIdle = 32
 
-// Pool keeps connections that rest. It is safe for use by several goroutines.
+// Pool keeps idle connections. It is safe for concurrent use.
 type Pool struct {
 	// Opened counts the connections opened.
 	Opened atomic.Uint64
@@ -26,14 +26,14 @@
 // NewPool returns an empty pool.
 func NewPool() *Pool { return &Pool{idle: map[string][]*Conn{}} }
 
-// Take returns a connection to an address: one that rested, or a new one.
+// Take returns a connection to an address: an idle one if possible, otherwise a new one.
 func (p *Pool) Take(ctx context.Context, now time.Time, address string) (c *Conn, reused bool, err error) {
 	for {
 		c := p.pop(address)
 		if c == nil {
 			break
 		}
-		if now.Before(c.idleUntil) && c.quiet() {
+		if now.Before(c.idleUntil) && c.isIdle() {
 			return c, true, nil
 		}
 		c.Close()
@@ -57,18 +57,19 @@
 	return c
 }
 
-// Give puts a connection back that may rest for a time. One that still sends is closed.
-func (p *Pool) Give(now time.Time, c *Conn, rest time.Duration) {
-	if !c.sentWhole() || c.reader.Buffered() > 0 {
+// Give returns a connection that may stay idle for a time to the pool. A connection that is still
+// sending is closed.
+func (p *Pool) Give(now time.Time, c *Conn, idleTime time.Duration) {
+	if !c.sentCompletely() || c.reader.Buffered() > 0 {
 		c.Close()
 		return
 	}
-	c.idleUntil = now.Add(rest)
-	p.rest(c)
+	c.idleUntil = now.Add(idleTime)
+	p.putIdle(c)
 }
 
-// rest keeps a connection, if there is room.
-func (p *Pool) rest(c *Conn) {
+// putIdle keeps an idle connection, or closes it if there is no room.
+func (p *Pool) putIdle(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || len(p.idle[c.Address]) >= maxIdle {
@@ -78,20 +79,20 @@
 	p.idle[c.Address] = append(p.idle[c.Address], c)
 }
 
-// Reach tries to open a connection to an address, and keeps it for the next request. An error that is ECONNREFUSED says that
-// nobody listens there.
+// Reach opens a connection to an address and keeps it for the next request. An error that is
+// ECONNREFUSED means that no process listens there.
 func (p *Pool) Reach(ctx context.Context, now time.Time, address string) error {
 	c, err := Dial(ctx, address)
 	if err != nil {
 		return err
 	}
 	p.Opened.Add(1)
-	c.idleUntil = now.Add(defaultRest)
-	p.rest(c)
+	c.idleUntil = now.Add(defaultIdleTime)
+	p.putIdle(c)
 	return nil
 }
 
-// Drop closes what rests for an address.
+// Drop closes the idle connections to an address.
 func (p *Pool) Drop(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,7 +102,7 @@
 	delete(p.idle, address)
 }
 
-// Sweep closes what has rested for too long.
+// Sweep closes connections that have been idle for too long.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,7 +119,7 @@
 	}
 }
 
-// Close closes all resting connections; later ones are closed when they are given back.
+// Close closes all idle connections; connections returned later are closed at once.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/modules/httpx/httpx.go
+++ b/modules/httpx/httpx.go
@@ -99,8 +99,9 @@
 	}
 }
 
-// SetBody gives a request a body that cannot be rewound, also where it is empty: a transport sends a GET, or a request with an
-// idempotency key, a second time by itself if it can and the connection breaks off, although the first may have run.
+// SetBody gives a request a body that cannot be rewound, even if it is empty. Otherwise a transport
+// may resend a GET, or a request with an idempotency key, when the connection breaks, although the
+// first one may have run.
 func SetBody(req *http.Request, body []byte) {
 	req.Body = io.NopCloser(bytes.NewReader(body))
 	req.GetBody = nil
@@ -124,19 +125,20 @@
 }
 
 const (
-	// headerTimeout bounds how long a caller may take for a request's head. Callers on the users' platform
-	// keep within three seconds.
+	// headerTimeout bounds how long a caller may take to send a request's header. Callers on the
+	// users' platform take at most three seconds.
 	headerTimeout = 10 * time.Second
-	// idleTime is how long a caller's connection may rest. It is longer than any catalog asks for.
-	idleTime = 5 * time.Minute
-	// maxHeader bounds the head of a request, in bytes.
+	// idleTimeout is how long a caller's connection may stay idle. It is longer than any catalog
+	// requires.
+	idleTimeout = 5 * time.Minute
+	// maxHeader bounds the header of a request, in bytes.
 	maxHeader = 64 << 10
 )
 
 // NewServer returns a server for h on l.
 func NewServer(l net.Listener, h http.Handler) *Server {
 	return &Server{
-		http:     &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTime, MaxHeaderBytes: maxHeader},
+		http:     &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader},
 		listener: l, done: make(chan struct{}),
 	}
 }
@@ -149,7 +151,7 @@
 	}()
 }
 
-// Stop lets requests in flight end until ctx does, then closes what is left.
+// Stop waits for requests in flight until ctx ends, then closes the remaining connections.
 func (s *Server) Stop(ctx context.Context) error {
 	err := s.http.Shutdown(ctx)
 	if err != nil {
@@ -162,7 +164,7 @@
 	return nil
 }
 
-// Close ends all connections at once, also those with requests in flight.
+// Close closes all connections at once, including those with requests in flight.
 func (s *Server) Close() error {
 	err := s.http.Close()
 	<-s.done
--- a/modules/httpx/httpxtest/serve.go
+++ b/modules/httpx/httpxtest/serve.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package httpxtest helps tests that speak HTTP byte by byte.
+// Package httpxtest helps tests that read and write raw HTTP.
 package httpxtest
 
 import (
@@ -11,7 +11,7 @@
 	"fawnwinch.org/fawnwinch/modules/httpx"
 )
 
-// Serve serves each connection with f until the test ends, and returns the address to connect to.
+// Serve handles each connection with f until the test ends, and returns the address to connect to.
 func Serve(t *testing.T, f func(c net.Conn)) string {
 	t.Helper()
 	l, err := httpx.Listen("127.0.0.1:0")
--- a/modules/log/line.go
+++ b/modules/log/line.go
@@ -10,31 +10,32 @@
 	"time"
 )
 
-// Line is a line that a process has logged.
+// Line is a parsed log line of a process.
 type Line struct {
 	Time    time.Time
 	Process string
-	// Event is what happened.
+	// Event is the name of the logged event.
 	Event string
-	// Fields holds all values of the line by their keys.
+	// Fields holds all values of the line by key.
 	Fields map[string]string
-	// Text is the line without what stands before its time.
+	// Text is the line without any prefix before its time.
 	Text string
 }
 
-// ErrNoLine reports text that is not a line of a process.
+// ErrNoLine reports text that is not a log line of a process.
 type ErrNoLine struct{ Reason string }
 
-func (e ErrNoLine) Error() string { return "no line of a process: " + e.Reason }
+func (e ErrNoLine) Error() string { return "not a log line: " + e.Reason }
 
-// timeKey begins each line; what stands before it was added on the way.
+// timeKey starts each line; log collectors may add a prefix before it.
 const timeKey = "time="
 
-// ParseLine reads a line that a logger of New has written. What collectors of logs put before it is passed over.
+// ParseLine parses a line written by a logger from New, and ignores any prefix that a log collector
+// added.
 func ParseLine(text string) (Line, error) {
 	at := strings.Index(text, timeKey)
 	if at < 0 {
-		return Line{}, ErrNoLine{Reason: "it has no time"}
+		return Line{}, ErrNoLine{Reason: "it has no time field"}
 	}
 	l := Line{Text: strings.TrimRight(text[at:], "\r\n"), Fields: map[string]string{}}
 	for rest := l.Text; rest != ""; {
@@ -47,17 +48,17 @@
 	}
 	var err error
 	if l.Time, err = time.Parse(time.RFC3339Nano, l.Fields["time"]); err != nil {
-		return Line{}, ErrNoLine{Reason: fmt.Sprintf("its time %q cannot be read", l.Fields["time"])}
+		return Line{}, ErrNoLine{Reason: fmt.Sprintf("its time %q is invalid", l.Fields["time"])}
 	}
 	l.Process, l.Event = l.Fields["process"], l.Fields["event"]
 	return l, nil
 }
 
-// nextField cuts the first key and value off.
+// nextField splits the first key and value off text.
 func nextField(text string) (key, value, rest string, err error) {
 	key, after, ok := strings.Cut(text, "=")
 	if !ok || key == "" || strings.Contains(key, " ") {
-		return "", "", "", ErrNoLine{Reason: fmt.Sprintf("%q is no key with a value", text)}
+		return "", "", "", ErrNoLine{Reason: fmt.Sprintf("%q does not start with key=value", text)}
 	}
 	if !strings.HasPrefix(after, `"`) {
 		value, rest, _ = strings.Cut(after, " ")
@@ -68,7 +69,7 @@
 		return "", "", "", ErrNoLine{Reason: fmt.Sprintf("the value of %s has no closing quote", key)}
 	}
 	if value, err = strconv.Unquote(quoted); err != nil {
-		return "", "", "", ErrNoLine{Reason: fmt.Sprintf("the value of %s cannot be read", key)}
+		return "", "", "", ErrNoLine{Reason: fmt.Sprintf("the quoted value of %s is invalid", key)}
 	}
 	return key, value, after[len(quoted):], nil
 }
--- a/modules/log/line_test.go
+++ b/modules/log/line_test.go
@@ -19,20 +19,20 @@
 	// Output: 51 refused deadline status 503: no room <nil>
 }
 
-// TestParseLine checks that what a logger writes is read back, and what is none of its lines is refused.
+// TestParseLine checks that lines written by a logger are parsed, and that other text is rejected.
 func TestParseLine(t *testing.T) {
 	var out bytes.Buffer
 	logger, err := log.New(&out, "info", "front-1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	odd := "a \"quoted\" = value\nof two lines"
-	logger.Warn().Str("request", "r1").Str("detail", odd).Int("attempts", 2).Err(errors.New("broke off")).Msg("attempt-failed")
+	detail := "a \"quoted\" = value\nof two lines"
+	logger.Warn().Str("request", "r1").Str("detail", detail).Int("attempts", 2).Err(errors.New("broke off")).Msg("attempt-failed")
 	l, err := log.ParseLine(out.String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := map[string]string{"request": "r1", "detail": odd, "attempts": "2", "error": "broke off", "level": "warn"}
+	want := map[string]string{"request": "r1", "detail": detail, "attempts": "2", "error": "broke off", "level": "warn"}
 	for key, value := range want {
 		if l.Fields[key] != value {
 			t.Errorf("%s is %q, want %q", key, l.Fields[key], value)
@@ -54,8 +54,8 @@
 	}
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
-			var no log.ErrNoLine
-			if _, err := log.ParseLine(text); !errors.As(err, &no) {
+			var notLine log.ErrNoLine
+			if _, err := log.ParseLine(text); !errors.As(err, &notLine) {
 				t.Errorf("got %v", err)
 			}
 		})
--- a/modules/log/log.go
+++ b/modules/log/log.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package log makes the structured logger of a process: one line of key=value pairs an event.
+// Package log creates the structured logger of a process, which writes one line of key=value pairs
+// per event.
 package log
 
 import (
@@ -36,11 +37,11 @@
 	return zerolog.New(out).Level(lvl).With().Timestamp().Str("process", process).Logger(), nil
 }
 
-// setTimeFormat makes the library keep more than seconds.
+// setTimeFormat makes zerolog keep fractions of a second in timestamps.
 var setTimeFormat = sync.OnceFunc(func() { zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000000Z07:00" })
 
-// fieldValue formats a value. The library hands text with blanks or quotes over in quotes, and what is neither
-// text nor a number as JSON.
+// fieldValue formats a value. The library passes text with spaces or quotes already quoted, and
+// values that are neither text nor numbers as JSON.
 func fieldValue(v any) string {
 	switch v := v.(type) {
 	case []byte:
@@ -60,11 +61,11 @@
 	return s
 }
 
-// bufferedLines is the number of lines that wait for a reader of the log that is slow.
+// bufferedLines is the number of lines buffered for a slow log reader.
 const bufferedLines = 2048
 
-// Buffered returns a writer that never blocks: lines beyond those that wait for w are dropped, and their
-// number is written once w takes lines again.
+// Buffered returns a writer that never blocks: it drops lines that exceed its buffer, and reports
+// their number once w accepts lines again.
 func Buffered(w io.Writer) io.Writer {
 	return diode.NewWriter(w, bufferedLines, 0, func(missed int) {
 		_, _ = fmt.Fprintf(w, "level=warn event=log-lines-dropped lines=%d\n", missed)
--- a/modules/metrics/metrics.go
+++ b/modules/metrics/metrics.go
@@ -15,13 +15,13 @@
 
 const namespace = "fawnwinch"
 
-// Metrics is the registry of one process. Names carry their units.
+// Metrics is the metrics registry of one process. Metric names include their units.
 type Metrics struct {
 	Registry *prometheus.Registry
 
-	requests *prometheus.CounterVec
-	seconds  *prometheus.HistogramVec
-	attempts *prometheus.CounterVec
+	requests  *prometheus.CounterVec
+	durations *prometheus.HistogramVec
+	attempts  *prometheus.CounterVec
 }
 
 // New returns the metrics of a process.
@@ -31,7 +31,7 @@
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "requests_total", Help: "Requests by service, outcome and reason.",
 		}, []string{"service", "outcome", "reason"}),
-		seconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		durations: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "request_duration_seconds", Help: "Time from arrival to the end of the answer.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 16),
 		}, []string{"service"}),
@@ -40,24 +40,24 @@
 		}, []string{"service"}),
 	}
 	labelled := prometheus.WrapRegistererWith(prometheus.Labels{"process": process}, m.Registry)
-	labelled.MustRegister(m.requests, m.seconds, m.attempts,
+	labelled.MustRegister(m.requests, m.durations, m.attempts,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
 }
 
-// Request notes the end of a request.
+// Request records the end of a request.
 func (m *Metrics) Request(service, outcome, reason string, took time.Duration, attempts int) {
 	m.requests.WithLabelValues(service, outcome, reason).Inc()
-	m.seconds.WithLabelValues(service).Observe(took.Seconds())
+	m.durations.WithLabelValues(service).Observe(took.Seconds())
 	m.attempts.WithLabelValues(service).Add(float64(attempts))
 }
 
-// Gauge registers a value that is read when metrics are.
+// Gauge registers a gauge whose value is read at each scrape.
 func (m *Metrics) Gauge(name, help string, labels prometheus.Labels, read func() float64) {
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help, ConstLabels: labels}, read))
 }
 
-// Counter registers a rising value that is read when metrics are.
+// Counter registers a counter whose value is read at each scrape.
 func (m *Metrics) Counter(name, help string, labels prometheus.Labels, read func() float64) {
 	m.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help, ConstLabels: labels}, read))
 }
@@ -68,8 +68,8 @@
 	Value float64
 }
 
-// Each registers a metric whose labelled values are read when metrics are. Rising says that values
-// only rise.
+// Each registers a metric whose labelled values are read at each scrape. It is a counter if rising
+// is set, and a gauge otherwise.
 func (m *Metrics) Each(name, help, label string, rising bool, read func() []Sample) {
 	kind := prometheus.GaugeValue
 	if rising {
@@ -79,7 +79,7 @@
 	m.Registry.MustRegister(&samples{desc: desc, kind: kind, read: read})
 }
 
-// samples collects the values of one metric.
+// samples is the collector of one metric with labelled values.
 type samples struct {
 	desc *prometheus.Desc
 	kind prometheus.ValueType
@@ -96,7 +96,7 @@
 	}
 }
 
-// Handler serves the metrics.
+// Handler returns the HTTP handler that serves the metrics.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.Registry, promhttp.HandlerOpts{})
 }
--- a/modules/rpc/rpc.go
+++ b/modules/rpc/rpc.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package rpc carries net/rpc calls between fawnwinch processes, with deadlines and bounded connections.
+// Package rpc carries net/rpc calls between fawnwinch processes, with deadlines and bounded
+// connections.
 package rpc
 
 import (
@@ -21,16 +22,16 @@
 // DialTimeout bounds how long a connection attempt may take.
 const DialTimeout = 500 * time.Millisecond
 
-// Stats counts what control calls have sent and received, in bytes and calls.
+// Stats counts the control calls, and the bytes that they sent and received.
 type Stats struct {
 	Sent, Received, Calls atomic.Uint64
 }
 
-// quietMost is how long a connection may bring nothing while calls on it run out of time, before it counts as dead and
-// is closed. A connection whose only call runs out of time is closed at once.
-const quietMost = time.Second
+// maxSilence is how long a connection may receive nothing while calls on it time out, before it is
+// considered dead and closed. A connection whose only call times out is closed at once.
+const maxSilence = time.Second
 
-// Pool keeps one connection to each peer. It is safe for use by several goroutines.
+// Pool keeps one connection to each peer. It is safe for concurrent use.
 type Pool struct {
 	Stats Stats
 
@@ -39,14 +40,15 @@
 	closed bool
 }
 
-// conn is a connection to a peer with the calls under way on it.
+// conn is a connection to a peer, with its calls in flight.
 type conn struct {
 	client *rpc.Client
-	// received is when bytes last came, in nanoseconds.
-	received atomic.Int64
-	// pending counts the calls under way, and used is when the latest began. The pool's lock guards both.
-	pending int
-	used    time.Time
+	// lastReceived is when bytes last arrived, in Unix nanoseconds.
+	lastReceived atomic.Int64
+	// pending counts the calls in flight, and lastUsed is when the latest one started. The pool's
+	// lock guards both.
+	pending  int
+	lastUsed time.Time
 }
 
 // NewPool returns an empty pool.
@@ -60,35 +62,35 @@
 // Unwrap returns the cause.
 func (e ErrNotSent) Unwrap() error { return e.Err }
 
-// Call calls method at address and waits until the answer or the end of ctx.
-// Reply is a pointer; it is set only if the call returns nil. A call that ends with ctx closes the connection, unless
-// other calls are under way on it and it has brought something lately: a peer that is slow for one of them must not lose
-// the others.
+// Call calls method at address and waits for the answer or the end of ctx. Reply is a pointer; it
+// is set only if the call returns nil. A call that ends with ctx closes the connection, unless
+// other calls are in flight on it and it has received bytes recently: a peer that is slow for one
+// of them must not lose the others.
 func (p *Pool) Call(ctx context.Context, address, method string, args, reply any) error {
 	c, err := p.take(ctx, address)
 	if err != nil {
 		return ErrNotSent{Err: err}
 	}
 	p.Stats.Calls.Add(1)
-	// The answer is decoded into a value of its own: one that comes after the end of ctx must not change what the
-	// caller holds by then.
-	own := reflect.New(reflect.TypeOf(reply).Elem())
-	call := c.client.Go(method, args, own.Interface(), make(chan *rpc.Call, 1))
+	// The answer is decoded into a separate value: one that arrives after the end of ctx must not
+	// change the caller's value.
+	result := reflect.New(reflect.TypeOf(reply).Elem())
+	call := c.client.Go(method, args, result.Interface(), make(chan *rpc.Call, 1))
 	select {
 	case done := <-call.Done:
 		if done.Error == nil {
-			reflect.ValueOf(reply).Elem().Set(own.Elem())
+			reflect.ValueOf(reply).Elem().Set(result.Elem())
 		}
 		return p.finish(address, c, method, done.Error)
 	case <-ctx.Done():
-		if p.release(c) == 0 || clock.Since(time.Unix(0, c.received.Load())) > quietMost {
+		if p.release(c) == 0 || clock.Since(time.Unix(0, c.lastReceived.Load())) > maxSilence {
 			p.drop(address, c)
 		}
 		return fmt.Errorf("call %s at %s: %w", method, address, ctx.Err())
 	}
 }
 
-// finish ends a call that was answered, or whose connection has failed.
+// finish completes a call that was answered or whose connection has failed.
 func (p *Pool) finish(address string, c *conn, method string, err error) error {
 	p.release(c)
 	if err == nil {
@@ -101,9 +103,9 @@
 	return fmt.Errorf("call %s at %s: %w", method, address, err)
 }
 
-// take returns the connection to a peer for one more call.
+// take returns the connection to a peer and counts one more call on it.
 func (p *Pool) take(ctx context.Context, address string) (*conn, error) {
-	if c, err := p.kept(address); c != nil || err != nil {
+	if c, err := p.lookup(address); c != nil || err != nil {
 		return c, err
 	}
 	d := net.Dialer{Timeout: DialTimeout}
@@ -112,13 +114,13 @@
 		return nil, fmt.Errorf("dial %s: %w", address, err)
 	}
 	c := &conn{}
-	c.received.Store(clock.Now().UnixNano())
-	c.client = rpc.NewClient(&countingConn{Conn: dialled, stats: &p.Stats, received: &c.received})
-	return p.keep(address, c)
+	c.lastReceived.Store(clock.Now().UnixNano())
+	c.client = rpc.NewClient(&countingConn{Conn: dialled, stats: &p.Stats, lastReceived: &c.lastReceived})
+	return p.store(address, c)
 }
 
-// kept returns the connection to a peer if there is one.
-func (p *Pool) kept(address string) (*conn, error) {
+// lookup returns the existing connection to a peer, or nil.
+func (p *Pool) lookup(address string) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -129,12 +131,13 @@
 		return nil, nil
 	}
 	c.pending++
-	c.used = clock.Now()
+	c.lastUsed = clock.Now()
 	return c, nil
 }
 
-// keep stores a new connection, unless another goroutine was faster.
-func (p *Pool) keep(address string, c *conn) (*conn, error) {
+// store adds a new connection to the pool, unless another goroutine was first, and returns the one
+// in the pool.
+func (p *Pool) store(address string, c *conn) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -147,11 +150,11 @@
 	}
 	p.conns[address] = c
 	c.pending++
-	c.used = clock.Now()
+	c.lastUsed = clock.Now()
 	return c, nil
 }
 
-// release notes the end of a call and returns how many others are under way.
+// release records the end of a call and returns how many others are in flight.
 func (p *Pool) release(c *conn) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,24 +171,24 @@
 	_ = c.client.Close()
 }
 
-// Sweep closes connections that no call has used for a time: the peers that a process speaks to change as others come and
-// go, and each connection holds some 50 KB at both ends.
+// Sweep closes connections that no call has used for longer than idle. The peers of a process
+// change over time, and each connection takes about 50 KB at both ends.
 func (p *Pool) Sweep(now time.Time, idle time.Duration) {
 	p.mu.Lock()
-	var old []*conn
+	var idleConns []*conn
 	for a, c := range p.conns {
-		if c.pending == 0 && now.Sub(c.used) > idle {
-			old = append(old, c)
+		if c.pending == 0 && now.Sub(c.lastUsed) > idle {
+			idleConns = append(idleConns, c)
 			delete(p.conns, a)
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range idleConns {
 		_ = c.client.Close()
 	}
 }
 
-// Kept returns the number of connections that are kept.
+// Kept returns the number of connections in the pool.
 func (p *Pool) Kept() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,7 +223,7 @@
 	return &Server{rpc: rpc.NewServer(), listener: l, conns: map[net.Conn]bool{}}
 }
 
-// Register offers the exported methods of v under a name.
+// Register publishes the exported methods of v under a name.
 func (s *Server) Register(name string, v any) error {
 	if err := s.rpc.RegisterName(name, v); err != nil {
 		return fmt.Errorf("register rpc %s: %w", name, err)
@@ -267,21 +270,21 @@
 type countingConn struct {
 	net.Conn
 	stats *Stats
-	// received takes when bytes last came, in nanoseconds; nil if nobody asks.
-	received *atomic.Int64
+	// lastReceived is set to when bytes last arrived, in Unix nanoseconds; nil if it is not needed.
+	lastReceived *atomic.Int64
 }
 
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.stats.Received.Add(uint64(max(n, 0)))
-	if c.received != nil && n > 0 {
-		c.received.Store(clock.Now().UnixNano())
+	if c.lastReceived != nil && n > 0 {
+		c.lastReceived.Store(clock.Now().UnixNano())
 	}
-	return n, err //nolint:wrapcheck // io.EOF must stay itself
+	return n, err //nolint:wrapcheck // callers compare with io.EOF
 }
 
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.stats.Sent.Add(uint64(max(n, 0)))
-	return n, err //nolint:wrapcheck // the rpc codec reads the error itself
+	return n, err //nolint:wrapcheck // the rpc codec inspects the error
 }
--- a/modules/rpc/rpc_test.go
+++ b/modules/rpc/rpc_test.go
@@ -16,16 +16,17 @@
 	"go.uber.org/goleak"
 )
 
-// echo answers at once, or not before it is let go.
+// echo answers at once, or once its gate is closed.
 type echo struct{ gate chan struct{} }
 
 // Now answers at once.
 func (e *echo) Now(in int, out *int) error { *out = in; return nil }
 
-// Late answers when it is let go.
+// Late answers once the gate is closed.
 func (e *echo) Late(in int, out *int) error { <-e.gate; *out = in; return nil }
 
-// TestCall checks that a late answer meets nobody, that the next call works, and that nothing is left behind.
+// TestCall checks that a late answer reaches no other call, that the next call works, and that no
+// goroutine is left.
 func TestCall(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	l, err := httpx.Listen("127.0.0.1:0")
@@ -53,12 +54,12 @@
 	s.Close()
 	var unsent rpc.ErrNotSent
 	if err := p.Call(t.Context(), "127.0.0.1:1", "Echo.Now", 2, &out); !errors.As(err, &unsent) {
-		t.Errorf("call of nobody: %v", err)
+		t.Errorf("call without a listener: %v", err)
 	}
 	p.Close()
 }
 
-// SlowReply is an answer whose decoding the test can stop in the middle.
+// SlowReply is a reply whose decoding the test can pause.
 type SlowReply struct{ Value int }
 
 var decoding, decode, decoded = make(chan struct{}), make(chan struct{}), make(chan struct{})
@@ -78,8 +79,8 @@
 // Slow answers at once with a value that is slow to decode.
 func (e *echo) Slow(in int, out *SlowReply) error { out.Value = in; return nil }
 
-// TestLateAnswer checks that an answer which is still being decoded when the caller gives up does not
-// change the caller's value.
+// TestLateAnswer checks that an answer that is still being decoded when the caller's context ends
+// does not change the caller's value.
 func TestLateAnswer(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	l, err := httpx.Listen("127.0.0.1:0")
@@ -110,8 +111,7 @@
 	}
 }
 
-// TestSlowCall checks that a call which runs out of time leaves others on its connection alone, and that a connection which
-// brings nothing any more is closed.
+// TestSlowCall checks that a call that times out does not affect others on its connection.
 func TestSlowCall(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	l, err := httpx.Listen("127.0.0.1:0")
@@ -131,7 +131,8 @@
 		var out int
 		long <- p.Call(t.Context(), address, "Echo.Late", 1, &out)
 	}()
-	// short calls run out of time while the long one is under way; whether the first comes before it does not matter.
+	// short makes a call that times out while the long one is in flight. It does not matter whether
+	// the first of them is sent before the long one.
 	short := func() {
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Millisecond)
 		defer cancel()
@@ -140,7 +141,7 @@
 			t.Errorf("a short call: %v", err)
 		}
 		if err := p.Call(t.Context(), address, "Echo.Now", 3, &out); err != nil || out != 3 {
-			t.Errorf("a call beside it: %d, %v", out, err)
+			t.Errorf("a concurrent call: %d, %v", out, err)
 		}
 	}
 	for p.Stats.Calls.Load() == 0 {
@@ -157,7 +158,7 @@
 	p.Close()
 }
 
-// TestSweep checks that connections which nobody uses are closed, and that the next call makes a new one.
+// TestSweep checks that idle connections are closed, and that the next call opens a new one.
 func TestSweep(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	l, err := httpx.Listen("127.0.0.1:0")
@@ -177,7 +178,7 @@
 		}
 		p.Sweep(time.Now(), idle)
 		if kept := p.Kept(); (kept == 1) != (idle > 0) {
-			t.Errorf("%d connections are kept after a sweep of those idle for %s", kept, idle)
+			t.Errorf("%d connections left after a sweep of those idle for %s", kept, idle)
 		}
 	}
 	p.Close()
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -20,21 +20,22 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Process says who and where a process is.
+// Process holds the identity and the addresses of a process.
 type Process struct {
-	// ID names the process; no two processes share one.
+	// ID is the unique name of the process.
 	ID string `yaml:"id" validate:"required"`
 	// DataCentre is the data centre the process runs in.
 	DataCentre vm.DataCentre `yaml:"data_centre" validate:"required"`
-	// RPC is the host:port for calls of other fawnwinch processes.
+	// RPC is the host:port for calls from other fawnwinch processes.
 	RPC string `yaml:"rpc" validate:"required,hostname_port"`
 	// HTTP is the host:port for callers (router) or routers (agent).
 	HTTP string `yaml:"http" validate:"required,hostname_port"`
-	// AdvertiseRPC and AdvertiseHTTP are the addresses that others use, if they are not those above.
+	// AdvertiseRPC and AdvertiseHTTP are the addresses that others use, if they differ from those
+	// above.
 	AdvertiseRPC  string `yaml:"advertise_rpc,omitempty" validate:"omitempty,hostname_port"`
 	AdvertiseHTTP string `yaml:"advertise_http,omitempty" validate:"omitempty,hostname_port"`
-	// Heartbeat is the time between two heartbeats; the same at all processes. A process that is silent
-	// for five of them gets no new work.
+	// Heartbeat is the heartbeat interval, which is the same for all processes. A process that
+	// sends none for five intervals receives no new work.
 	Heartbeat time.Duration `yaml:"heartbeat" validate:"min=100ms,max=10s"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `yaml:"log_level" validate:"omitempty,oneof=debug info warn error"`
@@ -48,12 +49,12 @@
 	Retention time.Duration `yaml:"retention" validate:"required,min=1s"`
 }
 
-// Credential lets a caller name its client account.
+// Credential maps a caller's bearer token to its client account.
 type Credential struct {
 	Account account.ID `yaml:"account" validate:"required"`
 	// TokenSHA256 is the SHA-256 of the caller's bearer token, in hex.
 	TokenSHA256 string `yaml:"token_sha256" validate:"required,len=64,hexadecimal"`
-	// Operator allows the intent API as well.
+	// Operator also permits use of the intent API.
 	Operator bool `yaml:"operator"`
 }
 
@@ -61,14 +62,14 @@
 type Router struct {
 	Process  Process  `yaml:"process"`
 	Platform Platform `yaml:"platform"`
-	// Routers lists rpc addresses of routers to begin with; the VM list adds others.
+	// Routers lists the RPC addresses of initial routers; the VM list adds others.
 	Routers     []string     `yaml:"routers" validate:"dive,hostname_port"`
 	Credentials []Credential `yaml:"credentials" validate:"min=1,unique=TokenSHA256,dive"`
 	// AddressTTL is how long callers keep an answer about which router to use.
 	AddressTTL time.Duration `yaml:"address_ttl" validate:"min=100ms,max=10m"`
-	// RetryRatio bounds retries as a part of answered requests.
+	// RetryRatio bounds retries as a fraction of answered requests.
 	RetryRatio float64 `yaml:"retry_ratio" validate:"gte=0,lte=1"`
-	// EjectLimit is the largest part of a service's groups that may be shut out for slowness.
+	// EjectLimit is the largest fraction of a service's groups that may be ejected for slowness.
 	EjectLimit float64 `yaml:"eject_limit" validate:"gte=0,lt=1"`
 }
 
@@ -76,7 +77,7 @@
 type Agent struct {
 	Process  Process  `yaml:"process"`
 	Platform Platform `yaml:"platform"`
-	// Routers lists rpc addresses of routers to begin with; the VM list adds others.
+	// Routers lists the RPC addresses of initial routers; the VM list adds others.
 	Routers  []string      `yaml:"routers" validate:"min=1,dive,hostname_port"`
 	Upstream AgentUpstream `yaml:"upstream"`
 	Once     Once          `yaml:"once"`
@@ -89,29 +90,30 @@
 	Kind    service.Kind `yaml:"kind" validate:"required,oneof=model plain"`
 	// Address is the host:port of the upstream.
 	Address string `yaml:"address" validate:"required,hostname_port"`
-	// ChecksFence says whether the upstream refuses orders with an old fence by itself.
+	// ChecksFence reports whether the upstream itself rejects orders with an old fence.
 	ChecksFence bool `yaml:"checks_fence"`
 	// ExpertBytes is the size of one expert's weights in one layer, in bytes.
 	ExpertBytes int64 `yaml:"expert_bytes" validate:"gte=0"`
-	// Concurrency is the number of requests the upstream works on at a time.
+	// Concurrency is the number of requests that the upstream processes concurrently.
 	Concurrency int `yaml:"concurrency" validate:"min=1,max=100000"`
 	// QueueLimit is the number of requests that may wait.
 	QueueLimit int `yaml:"queue_limit" validate:"min=0,max=1000000"`
 }
 
-// Once says how requests that may not be repeated are kept.
+// Once holds the settings for requests that may not be repeated.
 type Once struct {
 	// Lifetime is how long a key is remembered; at most the log's retention.
 	Lifetime time.Duration `yaml:"lifetime" validate:"omitempty,min=1s"`
-	// Batch is the least time between two journal appends of this agent.
+	// Batch is the minimum time between two journal appends of this agent.
 	Batch time.Duration `yaml:"batch" validate:"omitempty,min=1ms,max=10s"`
 	// Capacity is the number of keys an agent remembers.
 	Capacity int `yaml:"capacity" validate:"gte=0"`
-	// OutageAfter is how long the log must be out of reach before an owner goes on without its journal; 0 means never.
+	// OutageAfter is how long the log must be unreachable before an owner continues without its
+	// journal; 0 means never.
 	OutageAfter time.Duration `yaml:"outage_after" validate:"omitempty,min=1s"`
 }
 
-// ErrInvalid reports a setting that cannot be taken, with the file, the field and its value.
+// ErrInvalid reports an invalid setting, with the file, the field and its value.
 type ErrInvalid struct {
 	File, Field, Value, Reason string
 }
@@ -122,10 +124,10 @@
 
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
-// DefaultHeartbeat carries the deployments of today.
+// DefaultHeartbeat suits the size of current deployments.
 const DefaultHeartbeat = 400 * time.Millisecond
 
-// DefaultRouter returns the settings that a file need not give.
+// DefaultRouter returns the defaults of the settings that a file may omit.
 func DefaultRouter() Router {
 	return Router{
 		Process:    Process{LogLevel: "info", Heartbeat: DefaultHeartbeat},
@@ -136,7 +138,7 @@
 	}
 }
 
-// DefaultAgent returns the settings that a file need not give.
+// DefaultAgent returns the defaults of the settings that a file may omit.
 func DefaultAgent() Agent {
 	return Agent{
 		Process:  Process{LogLevel: "info", Heartbeat: DefaultHeartbeat},
@@ -165,8 +167,8 @@
 	return s, nil
 }
 
-// Load reads a YAML file into a struct and checks it by its tags. A field that the struct does not have, or a value that does not fit,
-// is an ErrInvalid.
+// Load reads a YAML file into a struct and validates it by its tags. It returns an ErrInvalid for
+// an unknown field or an invalid value.
 func Load(path string, into any) error {
 	raw, err := os.ReadFile(path) //nolint:gosec // the operator names the file
 	if err != nil {
--- a/modules/setting/setting_test.go
+++ b/modules/setting/setting_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cases := map[string]struct{ from, to, say string }{
+	cases := map[string]struct{ from, to, want string }{
 		"unknown key":             {"platform:", "plattform:", "plattform"},
 		"bad address":             {"http: 10.20.1.20:7002", "http: nowhere", `"nowhere"`},
 		"no data centre":          {"data_centre: hakata-a", "data_centre: ''", "DataCentre"},
@@ -56,8 +56,8 @@
 			}
 			_, err := setting.LoadAgent(path)
 			var bad setting.ErrInvalid
-			if !errors.As(err, &bad) || !strings.Contains(err.Error(), tc.say) || !strings.Contains(err.Error(), path) {
-				t.Errorf("error %v, want one that names %s and says %q", err, path, tc.say)
+			if !errors.As(err, &bad) || !strings.Contains(err.Error(), tc.want) || !strings.Contains(err.Error(), path) {
+				t.Errorf("error %v, want one that names %s and contains %q", err, path, tc.want)
 			}
 		})
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-// keys lists the last parts of all yaml keys of a struct.
+// keys returns the last segments of all YAML keys of a struct.
 func keys(t reflect.Type) []string {
 	var out []string
 	for i := range t.NumField() {
--- a/modules/sleep/sleep.go
+++ b/modules/sleep/sleep.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// For pauses for a time, or until ctx ends.
+// For pauses for d, or until ctx ends.
 func For(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/modules/timeline/timeline.go
+++ b/modules/timeline/timeline.go
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: MIT
 
 // Package timeline keeps the latest events of a process, stamped so that the events of all
-// processes merge into one order in which causes stand before their effects.
+// processes merge into one order in which causes precede their effects.
 package timeline
 
 import (
@@ -30,7 +30,7 @@
 	last Stamp
 }
 
-// Now returns a stamp later than every stamp this clock has given or seen.
+// Now returns a stamp later than every stamp that this clock has issued or observed.
 func (c *Clock) Now(now time.Time) Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,7 +38,7 @@
 	return c.last
 }
 
-// Observe takes in the stamp of a message from another process.
+// Observe advances the clock past the stamp of a message from another process.
 func (c *Clock) Observe(now time.Time, s Stamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +58,7 @@
 	c.last = Stamp{Micros: base.Micros, Counter: base.Counter + 1}
 }
 
-// Kind groups events.
+// Kind is the category of an event.
 type Kind string
 
 // The kinds of event.
@@ -73,7 +73,7 @@
 	KindFault      Kind = "fault"
 )
 
-// Event is one entry of the time line.
+// Event is one entry of the timeline.
 type Event struct {
 	Stamp   Stamp  `json:"stamp"`
 	Process string `json:"process"`
@@ -108,7 +108,7 @@
 	Kind    Kind
 }
 
-// Match reports whether e passes the filter.
+// Match reports whether e matches the filter.
 func (f Filter) Match(e Event) bool {
 	return (f.Since.IsZero() || e.Stamp.Micros >= f.Since.UnixMicro()) &&
 		(f.Request == "" || f.Request == e.Request) &&
@@ -119,15 +119,15 @@
 // DefaultCapacity is the number of events of each class that a process keeps.
 const DefaultCapacity = 4096
 
-// Ring keeps the latest events of one process. Those of single requests are kept apart from the
-// others, which are few and must not be pushed out by them. It is safe for use by several goroutines.
+// Ring keeps the latest events of one process. Events of single requests have a buffer of their
+// own, so that they do not evict the others, which are few. It is safe for concurrent use.
 type Ring struct {
 	Clock Clock
 
 	process string
 	mu      sync.Mutex
-	// requests holds events of single requests, rare all others.
-	requests, rare buffer
+	// requests holds events of single requests, and others the remaining ones.
+	requests, others buffer
 }
 
 // buffer keeps the latest events of one class.
@@ -160,11 +160,11 @@
 	return &Ring{
 		process:  process,
 		requests: buffer{events: make([]Event, 0, capacity)},
-		rare:     buffer{events: make([]Event, 0, capacity)},
+		others:   buffer{events: make([]Event, 0, capacity)},
 	}
 }
 
-// Add stamps an event and keeps it; the oldest one of its class goes when there is no room.
+// Add stamps and stores an event, and evicts the oldest one of its class if the buffer is full.
 func (r *Ring) Add(now time.Time, e Event) {
 	e.Stamp = r.Clock.Now(now)
 	e.Process = r.process
@@ -174,17 +174,17 @@
 		r.requests.add(e)
 		return
 	}
-	r.rare.add(e)
+	r.others.add(e)
 }
 
-// Events returns the kept events that pass a filter, oldest first.
+// Events returns the stored events that match a filter, oldest first.
 func (r *Ring) Events(f Filter) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return Merge(r.requests.matching(f), r.rare.matching(f))
+	return Merge(r.requests.matching(f), r.others.matching(f))
 }
 
-// Merge returns the events of several processes in one order.
+// Merge returns the events of several processes in a single order.
 func Merge(lists ...[]Event) []Event {
 	all := slices.Concat(lists...)
 	slices.SortStableFunc(all, func(a, b Event) int {
--- a/modules/timeline/timeline_test.go
+++ b/modules/timeline/timeline_test.go
@@ -11,7 +11,7 @@
 	"fawnwinch.org/fawnwinch/modules/timeline"
 )
 
-// The clocks of two processes differ; the answer still stands behind the question.
+// An answer sorts after its question even though the clocks of the two processes differ.
 func ExampleMerge() {
 	asker, answerer := timeline.NewRing("asker", 10), timeline.NewRing("answerer", 10)
 	now := time.Unix(1000, 0)
--- a/modules/usage/usage.go
+++ b/modules/usage/usage.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package usage tells how much processor time a process uses.
+// Package usage measures how much processor time a process uses.
 package usage
 
 import (
@@ -19,20 +19,22 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), nil
 }
 
-// Meter tells the part of a core that a process has used lately. The zero value is ready. It reads no clock.
+// Meter measures the number of cores that a process has used recently. The zero value is ready for
+// use. It reads no clock.
 type Meter struct {
 	at   time.Time
 	used time.Duration
 	mean float64
 }
 
-// keep is the weight of the past in the mean use, at one look each 0.4 s: what was used 1.5 s ago counts for a quarter.
-const keep = 0.7
+// decay is the weight of the past in the mean usage, at one sample every 0.4 s: usage from 1.5 s ago
+// is weighted as a quarter.
+const decay = 0.7
 
-// Note takes in the processor time that was used by now, and returns the mean number of cores in use.
+// Note records the processor time used until now, and returns the mean number of cores in use.
 func (m *Meter) Note(now time.Time, used time.Duration) float64 {
 	if passed := now.Sub(m.at); !m.at.IsZero() && passed > 0 {
-		m.mean = keep*m.mean + (1-keep)*(used-m.used).Seconds()/passed.Seconds()
+		m.mean = decay*m.mean + (1-decay)*(used-m.used).Seconds()/passed.Seconds()
 	}
 	m.at, m.used = now, used
 	return m.mean
--- a/modules/usage/usage_test.go
+++ b/modules/usage/usage_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// TestCPUTime checks that the time of a process that works goes up.
+// TestCPUTime checks that the processor time of a busy process increases.
 func TestCPUTime(t *testing.T) {
 	before, err := CPUTime()
 	if err != nil {
