--- a/modules/clock/system_test.go
+++ b/modules/clock/system_test.go
@@ -43,14 +43,14 @@
 		t.Run(name, func(t *testing.T) {
 			f := &fake{bootElapsed: time.Hour, err: c.err}
 			s := newSystem(f)
-			begun := s.Now()
+			start := s.Now()
 			for _, m := range c.moves {
 				f.monotonicElapsed += m.elapsed
 				f.bootElapsed += m.elapsed + m.suspended
 				s.Update()
 				s.Update()
 			}
-			if got := s.Now().Sub(begun); got != c.want {
+			if got := s.Now().Sub(start); got != c.want {
 				t.Errorf("%s elapsed, want %s", got, c.want)
 			}
 		})
@@ -71,9 +71,9 @@
 		t.Run(name, func(t *testing.T) {
 			f := &fake{bootElapsed: time.Hour}
 			s := newSystem(f)
-			begun := s.Now()
+			start := s.Now()
 			f.monotonicElapsed, f.wallElapsed, f.bootElapsed = time.Second, c.wallElapsed, f.bootElapsed+c.bootElapsed
-			if got := s.Now().Sub(begun); got != c.want {
+			if got := s.Now().Sub(start); got != c.want {
 				t.Errorf("%s elapsed, want %s", got, c.want)
 			}
 		})
@@ -87,11 +87,11 @@
 	if s.noBootClock {
 		t.Fatal("the boot clock cannot be read")
 	}
-	begun, steady := s.Now(), time.Now()
+	start, monotonic := s.Now(), time.Now()
 	for range 1000 {
 		s.Update()
 	}
-	if apart := (s.Now().Sub(begun) - time.Since(steady)).Abs(); apart > 5*time.Millisecond {
-		t.Errorf("the clock differs by %s from the monotonic clock", apart)
+	if difference := (s.Now().Sub(start) - time.Since(monotonic)).Abs(); difference > 5*time.Millisecond {
+		t.Errorf("the clock differs by %s from the monotonic clock", difference)
 	}
 }
--- a/modules/rpc/rpc.go
+++ b/modules/rpc/rpc.go
@@ -188,8 +188,8 @@
 	}
 }
 
-// Kept returns the number of connections in the pool.
-func (p *Pool) Kept() int {
+// Len returns the number of connections in the pool.
+func (p *Pool) Len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns)
--- a/modules/rpc/rpc_test.go
+++ b/modules/rpc/rpc_test.go
@@ -177,7 +177,7 @@
 			t.Errorf("call: %d, %v", out, err)
 		}
 		p.Sweep(time.Now(), idle)
-		if kept := p.Kept(); (kept == 1) != (idle > 0) {
+		if kept := p.Len(); (kept == 1) != (idle > 0) {
 			t.Errorf("%d connections left after a sweep of those idle for %s", kept, idle)
 		}
 	}
