--- a/cmd/platform_router.go
+++ b/cmd/platform_router.go
@@ -85,7 +85,7 @@
 	if err := server.Register("Router", entry.NewAPI(r)); err != nil {
 		return wrap(err, "router")
 	}
-	directory := routers.NewDirectory(r, routers.Words{
+	directory := routers.NewDirectory(r, routers.DirectoryNames{
 		ResolvePath: platform.PathResolve, ReadyPath: platform.PathReady, DataCentre: platform.ParamZone, Addresses: platform.FieldAddresses, TTL: platform.FieldTTL,
 	})
 	for _, address := range []string{n.set.Ready, n.set.Directory} {
--- a/routers/caller.go
+++ b/routers/caller.go
@@ -28,17 +28,17 @@
 	"github.com/google/uuid"
 )
 
-// problem is the body of an answer that fawnwinch gives itself.
-type problem struct {
+// errorBody is the error in a response that the router generates itself.
+type errorBody struct {
 	Outcome   request.Outcome `json:"outcome"`
 	Reason    string          `json:"reason"`
 	Message   string          `json:"message"`
 	RequestID request.ID      `json:"request_id,omitempty"`
-	// RetryAfterSeconds repeats the header.
+	// RetryAfterSeconds repeats the Retry-After header.
 	RetryAfterSeconds int `json:"retry_after_s,omitempty"`
 }
 
-func end(c *gin.Context, status int, p problem) {
+func abort(c *gin.Context, status int, p errorBody) {
 	c.Header(request.HeaderOutcome, string(p.Outcome))
 	c.Header(request.HeaderReason, p.Reason)
 	if p.RetryAfterSeconds > 0 {
@@ -47,8 +47,9 @@
 	c.AbortWithStatusJSON(status, gin.H{"error": p})
 }
 
-// rank lists the addresses of the ready routers for an account.
-func rank(now time.Time, d *directory.Directory, id account.ID, near string) []string {
+// rankedRouters returns the addresses of the ready routers, in order of preference for an account
+// and the data centre near.
+func rankedRouters(now time.Time, d *directory.Directory, id account.ID, near string) []string {
 	var entries []routing.Entry
 	for _, r := range d.Live(now) {
 		if r.State == membership.RouterReady {
@@ -62,13 +63,13 @@
 	return out
 }
 
-// HeaderTimeout lets a caller bound the time of its request, in milliseconds.
+// HeaderTimeout is the header in which a caller sets the timeout of its request, in milliseconds.
 const HeaderTimeout = "Fawnwinch-Timeout-Ms"
 
-// maxTimeout is the longest time a caller may ask for.
+// maxTimeout is the longest timeout that a caller may set.
 const maxTimeout = 10 * time.Minute
 
-func budget(c *gin.Context) (time.Duration, error) {
+func requestTimeout(c *gin.Context) (time.Duration, error) {
 	v := c.GetHeader(HeaderTimeout)
 	if v == "" {
 		return request.DefaultBudget, nil
@@ -80,24 +81,25 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// begin reads what all requests of callers have in common.
-func (w *Web) begin(c *gin.Context) (*dispatch.Request, bool) {
-	if !w.known(c) {
+// newRequest builds a request from the parts that all requests of callers share. It rejects the
+// request and returns false if one of them is invalid.
+func (w *Web) newRequest(c *gin.Context) (*dispatch.Request, bool) {
+	if !w.requireConfiguration(c) {
 		return nil, false
 	}
-	d, err := budget(c)
+	d, err := requestTimeout(c)
 	if err != nil {
-		refuse(c, http.StatusBadRequest, "bad-request", err.Error())
+		reject(c, http.StatusBadRequest, "bad-request", err.Error())
 		return nil, false
 	}
 	body, err := httpx.ReadAll(c.Request.Body, request.MaxBody)
 	if err != nil {
-		refuse(c, http.StatusRequestEntityTooLarge, "bad-request", err.Error())
+		reject(c, http.StatusRequestEntityTooLarge, "bad-request", err.Error())
 		return nil, false
 	}
 	id, err := uuid.NewV7()
 	if err != nil {
-		refuse(c, http.StatusInternalServerError, "internal", err.Error())
+		reject(c, http.StatusInternalServerError, "internal", err.Error())
 		return nil, false
 	}
 	return &dispatch.Request{
@@ -106,15 +108,15 @@
 	}, true
 }
 
-// service finds the service of a request and checks that the account has a share of it.
-func (w *Web) service(c *gin.Context, r *dispatch.Request, id string, kind service.Kind) bool {
+// resolveService sets the service of a request after checking that the account has a share of it.
+func (w *Web) resolveService(c *gin.Context, r *dispatch.Request, id string, kind service.Kind) bool {
 	s := w.Follower.State().Intent.Service(service.ID(id))
 	if s == nil || s.Kind != kind {
-		refuse(c, http.StatusNotFound, "no-service", fmt.Sprintf("there is no %s service %q", kind, id))
+		reject(c, http.StatusNotFound, "no-service", fmt.Sprintf("there is no %s service %q", kind, id))
 		return false
 	}
 	if s.Weight(r.Account) <= 0 {
-		refuse(c, http.StatusForbidden, "no-share", fmt.Sprintf("account %q has no share of service %q", r.Account, id))
+		reject(c, http.StatusForbidden, "no-share", fmt.Sprintf("account %q has no share of service %q", r.Account, id))
 		return false
 	}
 	r.Service = s
@@ -122,28 +124,28 @@
 }
 
 func (w *Web) chat(c *gin.Context) {
-	r, ok := w.begin(c)
+	r, ok := w.newRequest(c)
 	if !ok {
 		return
 	}
-	var head struct {
+	var params struct {
 		Model  string `json:"model"`
 		Stream bool   `json:"stream"`
 	}
-	if err := json.Unmarshal(r.Body, &head); err != nil {
-		refuse(c, http.StatusBadRequest, "bad-request", "body: "+err.Error())
+	if err := json.Unmarshal(r.Body, &params); err != nil {
+		reject(c, http.StatusBadRequest, "bad-request", "body: "+err.Error())
 		return
 	}
-	if !w.service(c, r, head.Model, service.KindModel) {
+	if !w.resolveService(c, r, params.Model, service.KindModel) {
 		return
 	}
-	r.Path, r.Stream = "/v1/chat/completions", head.Stream
-	w.run(c, r)
+	r.Path, r.Stream = "/v1/chat/completions", params.Stream
+	w.serve(c, r)
 }
 
 func (w *Web) plain(c *gin.Context) {
-	r, ok := w.begin(c)
-	if !ok || !w.service(c, r, c.Param("service"), service.KindPlain) {
+	r, ok := w.newRequest(c)
+	if !ok || !w.resolveService(c, r, c.Param("service"), service.KindPlain) {
 		return
 	}
 	r.Path = c.Param("path")
@@ -151,11 +153,11 @@
 	r.Once = nonRepeatable(r)
 	if r.Once || r.Key != "" {
 		if err := request.CheckKey(r.Key); err != nil {
-			refuse(c, http.StatusBadRequest, "bad-key", err.Error())
+			reject(c, http.StatusBadRequest, "bad-key", err.Error())
 			return
 		}
 	}
-	w.run(c, r)
+	w.serve(c, r)
 }
 
 func nonRepeatable(r *dispatch.Request) bool {
@@ -167,15 +169,15 @@
 	return false
 }
 
-// stream passes a streamed answer on. The head is sent with the first part.
-type stream struct {
+// callerStream forwards a streamed answer to the caller. It sends the headers with the first event.
+type callerStream struct {
 	c       *gin.Context
 	id      request.ID
 	started bool
 }
 
-// Part passes one event on.
-func (s *stream) Part(event []byte) error {
+// Part forwards one event.
+func (s *callerStream) Part(event []byte) error {
 	if !s.started {
 		s.started = true
 		s.c.Header(request.HeaderID, string(s.id))
@@ -190,13 +192,13 @@
 	return nil
 }
 
-func (w *Web) run(c *gin.Context, r *dispatch.Request) {
-	began := clock.Now()
-	w.Ring.Add(began, timeline.Event{Kind: timeline.KindRequest, Name: "arrived", Request: string(r.ID), Detail: fmt.Sprintf("account=%s service=%s method=%s path=%s", r.Account, r.Service.ID, r.Method, r.Path)})
-	sink := &stream{c: c, id: r.ID}
+func (w *Web) serve(c *gin.Context, r *dispatch.Request) {
+	start := clock.Now()
+	w.Ring.Add(start, timeline.Event{Kind: timeline.KindRequest, Name: "arrived", Request: string(r.ID), Detail: fmt.Sprintf("account=%s service=%s method=%s path=%s", r.Account, r.Service.ID, r.Method, r.Path)})
+	sink := &callerStream{c: c, id: r.ID}
 	res := w.Dispatcher.Do(c.Request.Context(), r, sink)
 	now := clock.Now()
-	w.Metrics.Request(string(r.Service.ID), string(res.Outcome), shortReason(res.Reason), now.Sub(began), res.Attempts)
+	w.Metrics.Request(string(r.Service.ID), string(res.Outcome), shortReason(res.Reason), now.Sub(start), res.Attempts)
 	w.Ring.Add(now, timeline.Event{Kind: timeline.KindRequest, Name: "ended", Request: string(r.ID), Detail: fmt.Sprintf("outcome=%s reason=%q attempts=%d", res.Outcome, res.Reason, res.Attempts)})
 	if sink.started {
 		finishStream(c, r, res)
@@ -208,25 +210,25 @@
 		c.Data(res.Status, res.ContentType, res.Body)
 		return
 	}
-	end(c, failedStatus(res), problem{
-		Outcome: res.Outcome, Reason: res.Reason, RequestID: r.ID, Message: explain(res.Outcome),
+	abort(c, failureStatus(res), errorBody{
+		Outcome: res.Outcome, Reason: res.Reason, RequestID: r.ID, Message: outcomeMessage(res.Outcome),
 		RetryAfterSeconds: int(math.Ceil(res.RetryAfter.Seconds())),
 	})
 }
 
-// shortReason keeps the part of a reason that is fit for a label.
+// shortReason returns the part of a reason before the first colon, for use as a metric label.
 func shortReason(r string) string {
 	short, _, _ := strings.Cut(r, ":")
 	return short
 }
 
-// finishStream ends a stream that could not be completed with an error event, so that the
-// caller cannot take it for whole: the end mark is missing.
+// finishStream ends an incomplete stream with an error event instead of the end marker, so that
+// the caller does not take the answer for complete.
 func finishStream(c *gin.Context, r *dispatch.Request, res dispatch.Result) {
 	if res.Outcome == request.OutcomeAnswered {
 		return
 	}
-	raw, err := json.Marshal(gin.H{"error": problem{Outcome: res.Outcome, Reason: res.Reason, RequestID: r.ID, Message: "the stream broke off and could not be resumed"}})
+	raw, err := json.Marshal(gin.H{"error": errorBody{Outcome: res.Outcome, Reason: res.Reason, RequestID: r.ID, Message: "the stream broke off and could not be resumed"}})
 	if err != nil {
 		return
 	}
@@ -234,7 +236,7 @@
 	c.Writer.Flush()
 }
 
-func failedStatus(res dispatch.Result) int {
+func failureStatus(res dispatch.Result) int {
 	switch {
 	case res.Outcome == request.OutcomeUnknown:
 		return http.StatusBadGateway
@@ -247,7 +249,7 @@
 	}
 }
 
-func explain(o request.Outcome) string {
+func outcomeMessage(o request.Outcome) string {
 	if o == request.OutcomeNotRun {
 		return "the request has not run and will not run; it may be sent again"
 	}
--- a/routers/directory.go
+++ b/routers/directory.go
@@ -13,49 +13,50 @@
 	"github.com/gin-gonic/gin"
 )
 
-// Entry is what the platform's questions are answered from.
-type Entry interface {
-	// Ready reports whether the process takes callers.
+// Resolver provides the answers to the platform's resolve and readiness requests.
+type Resolver interface {
+	// Ready reports whether the process accepts requests from callers.
 	Ready() bool
-	// Addresses returns the addresses that callers of a data centre should use.
+	// Addresses returns the router addresses that callers in a data centre should use.
 	Addresses(now time.Time, dc vm.DataCentre) []string
 }
 
-// Words holds the names under which the platform asks.
-type Words struct {
-	// ResolvePath and ReadyPath are the paths of the two questions.
+// DirectoryNames holds the paths, parameters and fields of the platform's directory protocol.
+type DirectoryNames struct {
+	// ResolvePath and ReadyPath are the paths of the resolve and readiness requests.
 	ResolvePath, ReadyPath string
-	// DataCentre is the parameter that names the caller's data centre.
+	// DataCentre is the query parameter with the caller's data centre.
 	DataCentre string
-	// Addresses and TTL are the names of the fields of the answer.
+	// Addresses and TTL are the names of the fields in the response.
 	Addresses, TTL string
 }
 
-// addressSeconds is how long callers may keep an answer, in seconds. Some keep it three times as long,
-// and a process that stops must serve for that time.
-const addressSeconds = 1
+// addressTTLSeconds is how long callers may cache an answer, in seconds. Some cache it three times
+// as long, so a stopping process must keep serving for that time.
+const addressTTLSeconds = 1
 
-// maxAddresses is the most addresses that callers look at.
+// maxAddresses is the maximum number of addresses that callers use.
 const maxAddresses = 64
 
-// NewDirectory returns the handler of the questions which routers to use and whether this one is ready.
-func NewDirectory(e Entry, w Words) http.Handler {
+// NewDirectory returns the handler of requests for the routers to use and for this router's
+// readiness.
+func NewDirectory(r Resolver, names DirectoryNames) http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
-	g.GET(w.ReadyPath, func(c *gin.Context) {
-		if !e.Ready() {
+	g.GET(names.ReadyPath, func(c *gin.Context) {
+		if !r.Ready() {
 			c.Status(http.StatusServiceUnavailable)
 			return
 		}
 		c.Status(http.StatusOK)
 	})
-	g.GET(w.ResolvePath, func(c *gin.Context) {
-		list := e.Addresses(clock.Now(), vm.DataCentre(c.Query(w.DataCentre)))
+	g.GET(names.ResolvePath, func(c *gin.Context) {
+		list := r.Addresses(clock.Now(), vm.DataCentre(c.Query(names.DataCentre)))
 		if len(list) == 0 {
 			c.Status(http.StatusServiceUnavailable)
 			return
 		}
-		c.JSON(http.StatusOK, gin.H{w.Addresses: list[:min(len(list), maxAddresses)], w.TTL: addressSeconds})
+		c.JSON(http.StatusOK, gin.H{names.Addresses: list[:min(len(list), maxAddresses)], names.TTL: addressTTLSeconds})
 	})
 	return g
 }
--- a/routers/operator.go
+++ b/routers/operator.go
@@ -19,54 +19,55 @@
 	"github.com/google/uuid"
 )
 
-// plan answers with what an intent would change. It changes nothing.
+// plan responds with the changes that an intent would make, without applying them.
 func (w *Web) plan(c *gin.Context) {
 	raw, err := httpx.ReadAll(c.Request.Body, intent.MaxSize)
 	if err != nil {
-		refuse(c, http.StatusRequestEntityTooLarge, "bad-request", err.Error())
+		reject(c, http.StatusRequestEntityTooLarge, "bad-request", err.Error())
 		return
 	}
 	proposal, err := intent.Parse(raw)
 	if err != nil {
-		refuse(c, http.StatusBadRequest, "bad-intent", err.Error())
+		reject(c, http.StatusBadRequest, "bad-intent", err.Error())
 		return
 	}
-	if w.known(c) {
+	if w.requireConfiguration(c) {
 		c.JSON(http.StatusOK, intent.NewPlan(w.Follower.State(), proposal))
 	}
 }
 
-// Confirmation asks for a plan to be put in force.
+// Confirmation requests that a plan is put in force.
 type Confirmation struct {
-	// ID names the confirmation, so that its outcome can be asked for again. It is made up if empty.
+	// ID identifies the confirmation in later requests for its outcome. If empty, the router
+	// generates one.
 	ID   intent.ConfirmID `json:"id"`
 	Plan intent.Plan      `json:"plan"`
 }
 
-// ConfirmationAnswer tells what became of a confirmation.
+// ConfirmationAnswer reports the outcome of a confirmation.
 type ConfirmationAnswer struct {
 	ID      intent.ConfirmID  `json:"id"`
 	Outcome configlog.Outcome `json:"outcome"`
 	Message string            `json:"message,omitempty"`
-	// Changes lists what the plan would change now, if it is out of date.
+	// Changes lists what the plan would change now, if the plan is stale.
 	Changes []intent.Change `json:"changes,omitempty"`
 }
 
-// confirmTimeout bounds the wait for a confirmation to be read back.
+// confirmTimeout is the maximum wait for a confirmation to be read back from the log.
 const confirmTimeout = 8 * time.Second
 
 func (w *Web) confirm(c *gin.Context) {
 	var in Confirmation
 	if err := httpx.ReadJSON(c.Request.Body, 2*intent.MaxSize, &in); err != nil {
-		refuse(c, http.StatusBadRequest, "bad-request", err.Error())
+		reject(c, http.StatusBadRequest, "bad-request", err.Error())
 		return
 	}
 	if in.Plan.Intent == nil {
-		refuse(c, http.StatusBadRequest, "bad-request", "field plan.intent: is missing")
+		reject(c, http.StatusBadRequest, "bad-request", "field plan.intent: is missing")
 		return
 	}
 	if err := in.Plan.Intent.Check(); err != nil {
-		refuse(c, http.StatusBadRequest, "bad-intent", err.Error())
+		reject(c, http.StatusBadRequest, "bad-intent", err.Error())
 		return
 	}
 	if in.ID == "" {
@@ -80,7 +81,7 @@
 
 func answerConfirm(c *gin.Context, id intent.ConfirmID, out configlog.Outcome, err error) {
 	var conflict configlog.ErrConflict
-	var doubt configlog.ErrOutcomeUnknown
+	var unknown configlog.ErrOutcomeUnknown
 	var invalid intent.ErrInvalid
 	a := ConfirmationAnswer{ID: id, Outcome: out}
 	switch {
@@ -88,15 +89,15 @@
 		a.Message, a.Changes = err.Error(), conflict.Changes
 		a.Outcome = configlog.Outcome{Verdict: configlog.VerdictRejected, Revision: conflict.Have}
 		c.JSON(http.StatusConflict, a)
-	case errors.As(err, &doubt):
+	case errors.As(err, &unknown):
 		a.Message = err.Error()
 		c.Header("Retry-After", "2")
 		c.JSON(http.StatusAccepted, a)
 	case errors.As(err, &invalid):
-		refuse(c, http.StatusBadRequest, "bad-request", err.Error())
+		reject(c, http.StatusBadRequest, "bad-request", err.Error())
 	case err != nil:
 		c.Header("Retry-After", "2")
-		refuse(c, http.StatusServiceUnavailable, "log-unreachable", err.Error())
+		reject(c, http.StatusServiceUnavailable, "log-unreachable", err.Error())
 	case out.Verdict == configlog.VerdictRejected:
 		a.Message = "another confirmation was faster: make a new plan"
 		c.JSON(http.StatusConflict, a)
@@ -111,18 +112,19 @@
 }
 
 func (w *Web) intents(c *gin.Context) {
-	if w.known(c) {
+	if w.requireConfiguration(c) {
 		c.JSON(http.StatusOK, w.Follower.State())
 	}
 }
 
-// known refuses a question about the configuration while this router does not know it.
-func (w *Web) known(c *gin.Context) bool {
+// requireConfiguration reports whether this router has the configuration, and rejects the request
+// if not.
+func (w *Web) requireConfiguration(c *gin.Context) bool {
 	if w.Directory.Ready(clock.Now()) {
 		return true
 	}
 	c.Header("Retry-After", "1")
-	refuse(c, http.StatusServiceUnavailable, "not-ready", "this router does not know the configuration yet")
+	reject(c, http.StatusServiceUnavailable, "not-ready", "this router does not know the configuration yet")
 	return false
 }
 
@@ -130,10 +132,10 @@
 	c.JSON(http.StatusOK, w.Directory.Status(clock.Now()))
 }
 
-// TimelineAnswer is the merged time line.
+// TimelineAnswer is the merged time line of all processes.
 type TimelineAnswer struct {
 	Events []timeline.Event `json:"events"`
-	// Silent names the processes that did not answer.
+	// Silent lists the processes that did not respond.
 	Silent []string `json:"silent"`
 }
 
@@ -142,7 +144,7 @@
 	if s := c.Query("since"); s != "" {
 		at, err := time.Parse(time.RFC3339Nano, s)
 		if err != nil {
-			refuse(c, http.StatusBadRequest, "bad-request", "query since: "+err.Error())
+			reject(c, http.StatusBadRequest, "bad-request", "query since: "+err.Error())
 			return
 		}
 		f.Since = at
--- a/routers/router.go
+++ b/routers/router.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package routers is the HTTP interface of a router: for callers, for operators and for monitors.
+// Package routers implements the HTTP interface of a router for callers, operators and monitoring.
 package routers
 
 import (
@@ -24,12 +24,12 @@
 	"github.com/gin-gonic/gin"
 )
 
-// Dispatcher carries requests to upstreams.
+// Dispatcher sends requests to upstreams.
 type Dispatcher interface {
 	Do(ctx context.Context, r *dispatch.Request, sink dispatch.Sink) dispatch.Result
 }
 
-// Web holds what the handlers need.
+// Web holds the dependencies of the HTTP handlers.
 type Web struct {
 	Settings   setting.Router
 	Directory  *directory.Directory
@@ -41,7 +41,7 @@
 	credentials map[string]setting.Credential
 }
 
-// identity is who a caller has shown to be.
+// identity is the authenticated identity of a caller.
 type identity struct {
 	account  account.ID
 	operator bool
@@ -49,7 +49,7 @@
 
 const identityKey = "identity"
 
-// Handler returns the HTTP interface.
+// Handler returns the handler of the router's HTTP interface.
 func (w *Web) Handler() http.Handler {
 	w.credentials = map[string]setting.Credential{}
 	for _, c := range w.Settings.Credentials {
@@ -77,13 +77,13 @@
 	return g
 }
 
-// identify finds the client account of a bearer token.
+// identify authenticates a request by its bearer token and stores the caller's identity.
 func (w *Web) identify(c *gin.Context) {
 	token, ok := strings.CutPrefix(c.GetHeader("Authorization"), "Bearer ")
 	sum := sha256.Sum256([]byte(token))
 	cred, known := w.credentials[hex.EncodeToString(sum[:])]
 	if !ok || !known {
-		refuse(c, http.StatusUnauthorized, "unauthorized", "header Authorization: no known bearer token")
+		reject(c, http.StatusUnauthorized, "unauthorized", "header Authorization: no known bearer token")
 		return
 	}
 	c.Set(identityKey, identity{account: cred.Account, operator: cred.Operator})
@@ -96,11 +96,12 @@
 
 func operatorsOnly(c *gin.Context) {
 	if !caller(c).operator {
-		refuse(c, http.StatusForbidden, "forbidden", "this credential is not an operator's")
+		reject(c, http.StatusForbidden, "forbidden", "this credential is not an operator's")
 	}
 }
 
-// closeWhenLeaving makes callers connect anew, and so elsewhere, while this router leaves.
+// closeWhenLeaving closes callers' connections while this router is leaving, so that they reconnect
+// to other routers.
 func (w *Web) closeWhenLeaving(c *gin.Context) {
 	if w.Directory.Self().State == membership.RouterLeaving {
 		c.Header("Connection", "close")
@@ -118,23 +119,23 @@
 	}
 }
 
-// refuse answers a request that was not run.
-func refuse(c *gin.Context, status int, reason, message string) {
-	end(c, status, problem{Outcome: "not-run", Reason: reason, Message: message})
+// reject responds to a request that was not run.
+func reject(c *gin.Context, status int, reason, message string) {
+	abort(c, status, errorBody{Outcome: "not-run", Reason: reason, Message: message})
 }
 
-// endpointsAnswer tells a caller which routers to use.
+// endpointsAnswer lists the routers that a caller should use, best first.
 type endpointsAnswer struct {
-	// TTLMillis is how long the answer may be kept, in milliseconds.
+	// TTLMillis is how long the answer may be cached, in milliseconds.
 	TTLMillis int64    `json:"ttl_ms"`
 	Routers   []string `json:"routers"`
 }
 
 func (w *Web) endpoints(c *gin.Context) {
-	ranked := rank(clock.Now(), w.Directory, caller(c).account, c.Query("near"))
+	ranked := rankedRouters(clock.Now(), w.Directory, caller(c).account, c.Query("near"))
 	if len(ranked) == 0 {
 		c.Header("Retry-After", "1")
-		refuse(c, http.StatusServiceUnavailable, "no-router", "no router is ready")
+		reject(c, http.StatusServiceUnavailable, "no-router", "no router is ready")
 		return
 	}
 	c.JSON(http.StatusOK, endpointsAnswer{TTLMillis: w.Settings.AddressTTL.Milliseconds(), Routers: ranked})
