--- a/cmd/agent.go
+++ b/cmd/agent.go
@@ -45,7 +45,7 @@
 // agentOptions assembles an agent.
 func agentOptions(set setting.Agent, ss sockets, logs io.Writer) fx.Option {
 	return fx.Options(
-		common(set.Process, ss, logs),
+		commonOptions(set.Process, ss, logs),
 		fx.Supply(set),
 		fx.Provide(
 			func() *platform.Client { return platform.NewClient(set.Platform.Address) },
--- a/cmd/app.go
+++ b/cmd/app.go
@@ -19,10 +19,10 @@
 	"go.uber.org/fx"
 )
 
-// drainTimeout bounds a planned stop.
+// drainTimeout is the timeout of a graceful stop.
 const drainTimeout = 11 * time.Minute
 
-// startTimeout bounds a start.
+// startTimeout is the timeout of a start.
 const startTimeout = 30 * time.Second
 
 // sockets are the open listeners of a process.
@@ -30,7 +30,7 @@
 	HTTP, RPC net.Listener
 }
 
-// listen opens the sockets that settings name.
+// listen opens the listeners of the addresses in the settings.
 func listen(p setting.Process) (sockets, error) {
 	h, err := httpx.Listen(p.HTTP)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return sockets{HTTP: h, RPC: r}, nil
 }
 
-// common provides what every process has.
-func common(p setting.Process, ss sockets, logs io.Writer) fx.Option {
+// commonOptions returns the fx options that all processes share.
+func commonOptions(p setting.Process, ss sockets, logs io.Writer) fx.Option {
 	return fx.Options(
 		fx.NopLogger,
 		fx.StartTimeout(startTimeout),
@@ -58,20 +58,20 @@
 	)
 }
 
-// runApp starts an app, waits for the end of ctx and stops the app in good order.
+// runApp starts an app, waits until ctx is cancelled and stops the app gracefully.
 func runApp(ctx context.Context, app *fx.App) error {
 	if err := app.Err(); err != nil {
 		return fmt.Errorf("assemble process: %w", err)
 	}
-	sctx, cancel := context.WithTimeout(ctx, startTimeout)
+	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := app.Start(sctx); err != nil {
+	if err := app.Start(startCtx); err != nil {
 		return fmt.Errorf("start process: %w", err)
 	}
 	<-ctx.Done()
-	tctx, done := context.WithTimeout(context.WithoutCancel(ctx), drainTimeout)
+	stopCtx, done := context.WithTimeout(context.WithoutCancel(ctx), drainTimeout)
 	defer done()
-	if err := app.Stop(tctx); err != nil {
+	if err := app.Stop(stopCtx); err != nil {
 		return fmt.Errorf("stop process: %w", err)
 	}
 	return nil
--- a/cmd/client.go
+++ b/cmd/client.go
@@ -20,7 +20,7 @@
 	"github.com/spf13/cobra"
 )
 
-// operatorFlags are the flags of commands that ask a router.
+// operatorFlags are the flags of commands that send requests to a router.
 type operatorFlags struct {
 	routers string
 	token   string
@@ -32,12 +32,12 @@
 
 func (o *operatorFlags) add(c *cobra.Command) {
 	f := c.Flags()
-	f.StringVarP(&o.routers, "router", "r", "127.0.0.1:7001", "router addresses to ask in turn, with commas between")
+	f.StringVarP(&o.routers, "router", "r", "127.0.0.1:7001", "comma-separated router addresses, tried in order")
 	f.StringVar(&o.token, "token", os.Getenv(tokenVariable), "bearer token (default from "+tokenVariable+")")
 	f.StringVarP(&o.output, "output", "o", "text", "text or json")
 }
 
-// check refuses an unknown output format.
+// check rejects an unknown output format.
 func (o *operatorFlags) check() error {
 	if o.output != "text" && o.output != "json" {
 		return fmt.Errorf("flag --output: value %q is neither text nor json", o.output)
@@ -45,21 +45,21 @@
 	return nil
 }
 
-// maxAnswer bounds an answer of a router, in bytes.
+// maxAnswer is the maximum size of a router's answer, in bytes.
 const maxAnswer = 64 << 20
 
-// answer is what a router said.
+// answer is the response of a router.
 type answer struct {
 	status int
 	body   []byte
 }
 
-// ask sends a request to the first router that can be reached. A request that may have been taken
-// is not sent to another one.
-func (o *operatorFlags) ask(ctx context.Context, method, path string, body []byte) (answer, error) {
+// send sends a request to the first router that can be reached. A request that a router may have
+// received is not sent to another one.
+func (o *operatorFlags) send(ctx context.Context, method, path string, body []byte) (answer, error) {
 	var last error
 	for _, address := range strings.Split(o.routers, ",") {
-		a, err := o.askOne(ctx, address, method, path, body)
+		a, err := o.sendTo(ctx, address, method, path, body)
 		if err == nil || !httpx.NotSent(err) {
 			return a, err
 		}
@@ -68,10 +68,10 @@
 	return answer{}, last
 }
 
-// operatorTimeout bounds one call of an operator command.
+// operatorTimeout is the timeout of one request of an operator command.
 const operatorTimeout = 15 * time.Second
 
-func (o *operatorFlags) askOne(ctx context.Context, address, method, path string, body []byte) (answer, error) {
+func (o *operatorFlags) sendTo(ctx context.Context, address, method, path string, body []byte) (answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
@@ -91,7 +91,7 @@
 	return answer{status: resp.StatusCode, body: raw}, nil
 }
 
-// errAnswer reports an answer that is not a success.
+// err returns the error for an answer that is not a success.
 func (a answer) err() error {
 	var p struct {
 		Error struct {
@@ -104,9 +104,9 @@
 	return fmt.Errorf("router answered %d: %s", a.status, a.body)
 }
 
-// get asks for a JSON document.
+// get requests a JSON document and decodes it into v.
 func (o *operatorFlags) get(ctx context.Context, path string, v any) error {
-	a, err := o.ask(ctx, http.MethodGet, path, nil)
+	a, err := o.send(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 	return wrap(json.Unmarshal(a.body, v), "read answer")
 }
 
-// printJSON writes v for other programs to read.
+// printJSON writes v as indented JSON.
 func printJSON(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
--- a/cmd/config.go
+++ b/cmd/config.go
@@ -17,7 +17,7 @@
 	var kind string
 	check := &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Check files; the first bad field is named with its value",
+		Short: "Check files and report the first invalid field with its value",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
 			for _, f := range files {
--- a/cmd/confirm.go
+++ b/cmd/confirm.go
@@ -20,25 +20,25 @@
 	"github.com/spf13/cobra"
 )
 
-// confirmWait bounds the wait for a revision to be in force everywhere.
-const confirmWait = 10 * time.Second
+// inForceTimeout is the maximum wait for a revision to be in force at all processes.
+const inForceTimeout = 10 * time.Second
 
-// confirmPoll is the time between two questions.
-const confirmPoll = 200 * time.Millisecond
+// confirmPollInterval is the interval at which the status is polled.
+const confirmPollInterval = 200 * time.Millisecond
 
 func newConfirmCommand() *cobra.Command {
 	var o operatorFlags
 	var file, planFile, id string
 	c := &cobra.Command{
 		Use:   "confirm (-f intent.yaml | --plan plan.json | --id ID)",
-		Short: "Put a planned intent in force, and wait until it is so everywhere",
+		Short: "Put a planned intent in force, and wait until all processes apply it",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := o.check(); err != nil {
 				return err
 			}
 			if file == "" && planFile == "" && id != "" {
-				return askAgain(c, &o, intent.ConfirmID(id))
+				return queryConfirmation(c, &o, intent.ConfirmID(id))
 			}
 			p, err := loadPlan(c, &o, file, planFile)
 			if err != nil {
@@ -52,8 +52,8 @@
 	}
 	o.add(c)
 	c.Flags().StringVarP(&file, "file", "f", "", "intent file to plan and confirm at once, or - for standard input")
-	c.Flags().StringVar(&planFile, "plan", "", "plan kept by plan --out")
-	c.Flags().StringVar(&id, "id", "", "id of the confirmation; alone: ask what became of it")
+	c.Flags().StringVar(&planFile, "plan", "", "plan file written by plan --out")
+	c.Flags().StringVar(&id, "id", "", "id of the confirmation; without -f and --plan: show its outcome")
 	return c
 }
 
@@ -90,22 +90,22 @@
 	if err != nil {
 		return wrap(err, "write confirmation")
 	}
-	a, err := o.ask(c.Context(), http.MethodPost, "/api/v1/plans/confirm", body)
+	a, err := o.send(c.Context(), http.MethodPost, "/api/v1/plans/confirm", body)
 	if err != nil {
 		return fmt.Errorf("outcome unknown, ask again with confirm --id %s: %w", id, err)
 	}
-	return judgeConfirm(c, o, a)
+	return handleConfirmation(c, o, a)
 }
 
-func askAgain(c *cobra.Command, o *operatorFlags, id intent.ConfirmID) error {
-	a, err := o.ask(c.Context(), http.MethodGet, "/api/v1/confirmations/"+string(id), nil)
+func queryConfirmation(c *cobra.Command, o *operatorFlags, id intent.ConfirmID) error {
+	a, err := o.send(c.Context(), http.MethodGet, "/api/v1/confirmations/"+string(id), nil)
 	if err != nil {
 		return err
 	}
-	return judgeConfirm(c, o, a)
+	return handleConfirmation(c, o, a)
 }
 
-func judgeConfirm(c *cobra.Command, o *operatorFlags, a answer) error {
+func handleConfirmation(c *cobra.Command, o *operatorFlags, a answer) error {
 	var ca routers.ConfirmationAnswer
 	if err := json.Unmarshal(a.body, &ca); err != nil || ca.ID == "" {
 		return a.err()
@@ -120,12 +120,13 @@
 		return fmt.Errorf("outcome unknown, ask again with confirm --id %s", ca.ID)
 	case configlog.VerdictAccepted:
 	}
-	return awaitEverywhere(c, o, ca)
+	return awaitInForce(c, o, ca)
 }
 
-// awaitEverywhere waits until every live process has a revision in force, or says where not yet.
-func awaitEverywhere(c *cobra.Command, o *operatorFlags, ca routers.ConfirmationAnswer) error {
-	ctx, cancel := context.WithTimeout(c.Context(), confirmWait)
+// awaitInForce waits until every live process has a revision in force. On timeout it lists the
+// processes that do not.
+func awaitInForce(c *cobra.Command, o *operatorFlags, ca routers.ConfirmationAnswer) error {
+	ctx, cancel := context.WithTimeout(c.Context(), inForceTimeout)
 	defer cancel()
 	var s directory.Status
 	_, _ = fmt.Fprintf(c.ErrOrStderr(), "accepted as revision %d, waiting until it is in force everywhere\n", ca.Outcome.Revision)
@@ -139,7 +140,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(confirmPoll):
+		case <-time.After(confirmPollInterval):
 		}
 	}
 	for _, p := range s.Processes {
@@ -147,5 +148,5 @@
 			_, _ = fmt.Fprintf(c.ErrOrStderr(), "not yet in force: %s %s has revision %d\n", p.Role, p.ID, p.Revision)
 		}
 	}
-	return fmt.Errorf("accepted as revision %d, but not seen in force everywhere within %s", ca.Outcome.Revision, confirmWait)
+	return fmt.Errorf("accepted as revision %d, but not seen in force everywhere within %s", ca.Outcome.Revision, inForceTimeout)
 }
--- a/cmd/demo.go
+++ b/cmd/demo.go
@@ -30,7 +30,7 @@
 	"go.uber.org/fx"
 )
 
-// The size of the demo.
+// Numbers of processes in the demo, and its operator token.
 const (
 	demoRouters  = 3
 	demoGroups   = 2
@@ -39,7 +39,7 @@
 	demoToken    = "demo"
 )
 
-var demoCentres = []vm.DataCentre{"hakata-a", "tenjin-b", "kokura-c"}
+var demoDataCentres = []vm.DataCentre{"hakata-a", "tenjin-b", "kokura-c"}
 
 var demoAccounts = []account.Share{{Account: "itoshima-cu", Weight: 4}, {Account: "dazaifu-cu", Weight: 2}, {Account: "munakata-shops", Weight: 1}}
 
@@ -58,12 +58,12 @@
 			return runDemo(c.Context(), c.OutOrStdout(), logs, duration)
 		},
 	}
-	c.Flags().DurationVar(&duration, "duration", 0, "end by itself after this time")
+	c.Flags().DurationVar(&duration, "duration", 0, "stop after this time (default: run until interrupted)")
 	c.Flags().BoolVarP(&verbose, "verbose", "v", false, "show the logs of the processes")
 	return c
 }
 
-// demo holds what runs.
+// demo is a running demo.
 type demo struct {
 	logs     io.Writer
 	platform string
@@ -72,8 +72,9 @@
 	seeds    []string
 	vms      []vm.VM
 	intent   intent.Intent
-	// agents, routersUp and rest are stopped in this order; those of one list together.
-	agents, routersUp, rest []func()
+	// stopAgents, stopRouters and stopOthers hold the functions that stop the processes. The lists
+	// run in this order, the functions of one list concurrently.
+	stopAgents, stopRouters, stopOthers []func()
 }
 
 func runDemo(ctx context.Context, out, logs io.Writer, duration time.Duration) error {
@@ -85,25 +86,25 @@
 	if err := d.confirm(ctx); err != nil {
 		return wrap(err, "confirm the demo's intent")
 	}
-	d.explain(out)
+	d.printUsage(out)
 	if duration > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, duration)
 		defer cancel()
 	}
-	sum := d.load(ctx)
-	sum.judge(d.plains)
-	if _, err := fmt.Fprintln(out, sum.line()); err != nil {
+	result := d.runLoad(ctx)
+	result.compareEffects(d.plains)
+	if _, err := fmt.Fprintln(out, result.line()); err != nil {
 		return wrap(err, "print summary")
 	}
-	if sum.lost+sum.doubled+sum.broken+sum.untrue > 0 {
+	if result.lost+result.duplicated+result.broken+result.wronglyNotRun > 0 {
 		return errExit{code: exitFailed}
 	}
 	return nil
 }
 
 func (d *demo) stop() {
-	for _, list := range [][]func(){d.agents, d.routersUp, d.rest} {
+	for _, list := range [][]func(){d.stopAgents, d.stopRouters, d.stopOthers} {
 		var w sync.WaitGroup
 		for _, f := range list {
 			w.Go(f)
@@ -118,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	d.rest = append(d.rest, p.Close)
+	d.stopOthers = append(d.stopOthers, p.Close)
 	d.platform = address
 	if err := d.startRouters(ctx); err != nil {
 		return err
@@ -137,28 +138,28 @@
 	return nil
 }
 
-func open() (net.Listener, error) {
+func listenLoopback() (net.Listener, error) {
 	l, err := httpx.Listen("127.0.0.1:0")
 	return l, wrap(err, "open a loopback port")
 }
 
-func openSockets() (sockets, error) {
-	h, err := open()
+func listenLoopbackSockets() (sockets, error) {
+	h, err := listenLoopback()
 	if err != nil {
 		return sockets{}, err
 	}
-	r, err := open()
+	r, err := listenLoopback()
 	return sockets{HTTP: h, RPC: r}, err
 }
 
 func (d *demo) serve(h http.Handler) (string, error) {
-	l, err := open()
+	l, err := listenLoopback()
 	if err != nil {
 		return "", err
 	}
 	s := httpx.NewServer(l, h)
 	s.Start()
-	d.rest = append(d.rest, func() {
+	d.stopOthers = append(d.stopOthers, func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		_ = s.Stop(ctx)
@@ -169,7 +170,7 @@
 func (d *demo) startRouters(ctx context.Context) error {
 	var all []sockets
 	for range demoRouters {
-		ss, err := openSockets()
+		ss, err := listenLoopbackSockets()
 		if err != nil {
 			return err
 		}
@@ -180,7 +181,7 @@
 	sum := sha256.Sum256([]byte(demoToken))
 	for i, ss := range all {
 		set := setting.DefaultRouter()
-		set.Process.ID, set.Process.DataCentre = fmt.Sprintf("router-%d", i+1), demoCentres[i%len(demoCentres)]
+		set.Process.ID, set.Process.DataCentre = fmt.Sprintf("router-%d", i+1), demoDataCentres[i%len(demoDataCentres)]
 		set.Platform.Address, set.Routers = d.platform, d.seeds
 		set.AddressTTL = 200 * time.Millisecond
 		set.Credentials = []setting.Credential{{Account: "operators", TokenSHA256: hex.EncodeToString(sum[:]), Operator: true}}
@@ -192,7 +193,7 @@
 		if err != nil {
 			return err
 		}
-		d.routersUp = append(d.routersUp, stop)
+		d.stopRouters = append(d.stopRouters, stop)
 		d.vms = append(d.vms, vm.VM{ID: vm.ID(set.Process.ID), DataCentre: set.Process.DataCentre, Role: vm.RoleRouter, State: vm.StateLive, RPC: ss.RPC.Addr().String()})
 	}
 	return nil
@@ -214,7 +215,7 @@
 }
 
 func (d *demo) startAgent(ctx context.Context, id upstream.ID, sv service.ID, kind service.Kind, centre vm.DataCentre, address string) error {
-	ss, err := openSockets()
+	ss, err := listenLoopbackSockets()
 	if err != nil {
 		return err
 	}
@@ -227,7 +228,7 @@
 	if err != nil {
 		return err
 	}
-	d.agents = append(d.agents, stop)
+	d.stopAgents = append(d.stopAgents, stop)
 	return nil
 }
 
@@ -241,7 +242,7 @@
 			return wrap(err, "stand-in group")
 		}
 		g.Start()
-		d.rest = append(d.rest, g.Stop)
+		d.stopOthers = append(d.stopOthers, g.Stop)
 		sg := service.Group{ID: o.ID}
 		for r := range demoRanks {
 			address, err := d.serve(g.RankHandler(group.Rank(r)))
@@ -250,7 +251,7 @@
 			}
 			id := upstream.ID(fmt.Sprintf("%s-%d", o.ID, r))
 			sg.Ranks = append(sg.Ranks, id)
-			if err := d.startAgent(ctx, id, sv.ID, service.KindModel, demoCentres[i%len(demoCentres)], address); err != nil {
+			if err := d.startAgent(ctx, id, sv.ID, service.KindModel, demoDataCentres[i%len(demoDataCentres)], address); err != nil {
 				return err
 			}
 		}
@@ -274,7 +275,7 @@
 		}
 		id := upstream.ID(fmt.Sprintf("ledger-%d", i+1))
 		sv.Upstreams = append(sv.Upstreams, id)
-		if err := d.startAgent(ctx, id, sv.ID, service.KindPlain, demoCentres[i%len(demoCentres)], address); err != nil {
+		if err := d.startAgent(ctx, id, sv.ID, service.KindPlain, demoDataCentres[i%len(demoDataCentres)], address); err != nil {
 			return err
 		}
 	}
--- a/cmd/demo_load.go
+++ b/cmd/demo_load.go
@@ -28,16 +28,16 @@
 )
 
 const (
-	demoWorkers  = 6
-	demoTokens   = 12
-	demoReadyIn  = 20 * time.Second
-	demoInterval = 100 * time.Millisecond
+	demoWorkers      = 6
+	demoTokens       = 12
+	demoReadyTimeout = 20 * time.Second
+	demoInterval     = 100 * time.Millisecond
 )
 
-// confirm puts the demo's intent in force and waits until all processes take work.
+// confirm puts the demo's intent in force and waits until all processes are ready.
 func (d *demo) confirm(ctx context.Context) error {
 	o := operatorFlags{routers: strings.Join(d.routers, ","), token: demoToken}
-	ctx, cancel := context.WithTimeout(ctx, demoReadyIn)
+	ctx, cancel := context.WithTimeout(ctx, demoReadyTimeout)
 	defer cancel()
 	rev, err := d.confirmOnce(ctx, &o)
 	for err != nil && ctx.Err() == nil {
@@ -73,7 +73,7 @@
 	if err != nil {
 		return 0, wrap(err, "write intent")
 	}
-	a, err := o.ask(ctx, http.MethodPost, "/api/v1/plans", raw)
+	a, err := o.send(ctx, http.MethodPost, "/api/v1/plans", raw)
 	if err != nil {
 		return 0, err
 	}
@@ -86,7 +86,7 @@
 	if err != nil {
 		return 0, wrap(err, "write confirmation")
 	}
-	a, err = o.ask(ctx, http.MethodPost, "/api/v1/plans/confirm", raw)
+	a, err = o.send(ctx, http.MethodPost, "/api/v1/plans/confirm", raw)
 	if err != nil {
 		return 0, err
 	}
@@ -97,31 +97,32 @@
 	return ca.Outcome.Revision, nil
 }
 
-func (d *demo) explain(out io.Writer) {
+func (d *demo) printUsage(out io.Writer) {
 	_, _ = fmt.Fprintf(out, "routers: %s\noperator token: %s, account token: %s\n", strings.Join(d.routers, " "), demoToken, demoAccounts[0].Account)
 	_, _ = fmt.Fprintf(out, "try: curl -s -H 'Authorization: Bearer %s' -d '{\"model\":\"kotoba-pool\",\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}' http://%s/v1/chat/completions\n", demoAccounts[0].Account, d.routers[0])
 	_, _ = fmt.Fprintf(out, "try: fawnwinch status --router %s --token %s\n", d.routers[0], demoToken)
 }
 
-// summary counts what callers saw.
+// summary counts the outcomes of the demo's requests.
 type summary struct {
 	mu sync.Mutex
 
-	requests, whole, notRun, unknown int
-	// broken counts answers that were not whole or another caller's.
+	requests, complete, notRun, unknown int
+	// broken counts answers that were incomplete or another caller's.
 	broken int
-	// lost counts holds answered but not placed; doubled those placed twice; untrue "not run" answers with a hold placed.
-	lost, doubled, untrue int
-	holds                 map[string]request.Outcome
+	// lost counts holds that were answered but not placed, duplicated holds that were placed more
+	// than once, and wronglyNotRun holds that were answered as not run but placed.
+	lost, duplicated, wronglyNotRun int
+	holds                           map[string]request.Outcome
 }
 
-func (s *summary) note(key string, o request.Outcome, whole bool) {
+func (s *summary) record(key string, o request.Outcome, complete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests++
 	switch {
-	case o == request.OutcomeAnswered && whole:
-		s.whole++
+	case o == request.OutcomeAnswered && complete:
+		s.complete++
 	case o == request.OutcomeAnswered:
 		s.broken++
 	case o == request.OutcomeNotRun:
@@ -134,8 +135,8 @@
 	}
 }
 
-// judge compares what callers were told with the effects at the upstreams.
-func (s *summary) judge(plains []*upstreamstandin.Plain) {
+// compareEffects compares the outcomes that callers received with the effects at the upstreams.
+func (s *summary) compareEffects(plains []*upstreamstandin.Plain) {
 	effects := map[string]int{}
 	for _, p := range plains {
 		for k, n := range p.Effects() {
@@ -145,30 +146,30 @@
 	for k, o := range s.holds {
 		n := effects[k]
 		if n > 1 {
-			s.doubled++
+			s.duplicated++
 		}
 		if o == request.OutcomeAnswered && n == 0 {
 			s.lost++
 		}
 		if o == request.OutcomeNotRun && n > 0 {
-			s.untrue++
+			s.wronglyNotRun++
 		}
 	}
 }
 
 func (s *summary) line() string {
 	return fmt.Sprintf("requests=%d whole=%d refused-not-run=%d unknown=%d broken=%d lost=%d doubled=%d untrue=%d",
-		s.requests, s.whole, s.notRun, s.unknown, s.broken, s.lost, s.doubled, s.untrue)
+		s.requests, s.complete, s.notRun, s.unknown, s.broken, s.lost, s.duplicated, s.wronglyNotRun)
 }
 
-// load runs callers until ctx ends.
-func (d *demo) load(ctx context.Context) *summary {
+// runLoad sends requests from demoWorkers callers until ctx is cancelled.
+func (d *demo) runLoad(ctx context.Context) *summary {
 	s := &summary{holds: map[string]request.Outcome{}}
 	var w sync.WaitGroup
 	for i := range demoWorkers {
 		w.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				d.call(s, i, n)
+				d.sendRequest(s, i, n)
 			}
 		})
 	}
@@ -176,11 +177,11 @@
 	return s
 }
 
-func (d *demo) call(s *summary, worker, n int) {
-	who := string(demoAccounts[worker%len(demoAccounts)].Account)
+func (d *demo) sendRequest(s *summary, worker, n int) {
+	accountID := string(demoAccounts[worker%len(demoAccounts)].Account)
 	router := d.routers[worker%len(d.routers)]
 	if n%3 == 2 {
-		d.hold(s, who, router, fmt.Sprintf("hold-%d-%d", worker, n))
+		d.placeHold(s, accountID, router, fmt.Sprintf("hold-%d-%d", worker, n))
 		return
 	}
 	prompt := fmt.Sprintf("memo %d of worker %d", n, worker)
@@ -191,26 +192,26 @@
 	if err != nil {
 		return
 	}
-	resp, err := post(router+"/v1/chat/completions", who, "", body)
+	resp, err := post(router+"/v1/chat/completions", accountID, "", body)
 	if err != nil {
-		s.note("", request.OutcomeUnknown, false)
+		s.record("", request.OutcomeUnknown, false)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
-	text, whole := readText(resp)
-	s.note("", request.Outcome(resp.Header.Get(request.HeaderOutcome)), whole && text == upstreamstandin.Text("user:"+prompt+"\n", demoTokens))
+	text, complete := readChatAnswer(resp)
+	s.record("", request.Outcome(resp.Header.Get(request.HeaderOutcome)), complete && text == upstreamstandin.Text("user:"+prompt+"\n", demoTokens))
 }
 
-func (d *demo) hold(s *summary, who, router, key string) {
-	resp, err := post(router+"/svc/ledger-api/v1/holds", who, key, []byte(`{"yen":1200}`))
+func (d *demo) placeHold(s *summary, accountID, router, key string) {
+	resp, err := post(router+"/svc/ledger-api/v1/holds", accountID, key, []byte(`{"yen":1200}`))
 	if err != nil {
-		s.note(who+"/"+key, request.OutcomeUnknown, false)
+		s.record(accountID+"/"+key, request.OutcomeUnknown, false)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := httpx.ReadAll(resp.Body, request.MaxBody)
-	whole := err == nil && bytes.Contains(raw, []byte(`"path":"/v1/holds"`))
-	s.note(who+"/"+key, request.Outcome(resp.Header.Get(request.HeaderOutcome)), whole)
+	complete := err == nil && bytes.Contains(raw, []byte(`"path":"/v1/holds"`))
+	s.record(accountID+"/"+key, request.Outcome(resp.Header.Get(request.HeaderOutcome)), complete)
 }
 
 func post(address, token, key string, body []byte) (*http.Response, error) {
@@ -227,8 +228,8 @@
 	return resp, wrap(err, "post")
 }
 
-// answerPart is the part of a chat answer that the demo reads.
-type answerPart struct {
+// chatAnswer is the part of a chat answer that the demo reads.
+type chatAnswer struct {
 	Choices []struct {
 		Message, Delta struct {
 			Content string `json:"content"`
@@ -236,10 +237,10 @@
 	} `json:"choices"`
 }
 
-// readText reads a chat answer, streamed or not, and reports whether it came to its end.
-func readText(resp *http.Response) (string, bool) {
+// readChatAnswer reads a chat answer, streamed or not, and reports whether it is complete.
+func readChatAnswer(resp *http.Response) (string, bool) {
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		var p answerPart
+		var p chatAnswer
 		if err := httpx.ReadJSON(resp.Body, request.MaxBody, &p); err != nil || len(p.Choices) == 0 {
 			return "", false
 		}
@@ -255,7 +256,7 @@
 		if data == "[DONE]" {
 			return text.String(), true
 		}
-		var p answerPart
+		var p chatAnswer
 		if err := json.Unmarshal([]byte(data), &p); err != nil || len(p.Choices) == 0 {
 			return "", false
 		}
--- a/cmd/demo_test.go
+++ b/cmd/demo_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestDemo runs the demo as a new user would, and checks its summary.
+// TestDemo runs the demo command and checks its summary.
 func TestDemo(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	defer http.DefaultClient.CloseIdleConnections()
@@ -30,7 +30,7 @@
 	}
 }
 
-// BenchmarkPath sends plain requests through a router and an agent in one process, for profiles.
+// BenchmarkPath sends plain requests through a router and an agent in one process, for profiling.
 func BenchmarkPath(b *testing.B) {
 	d := &demo{logs: io.Discard}
 	defer d.stop()
--- a/cmd/plan.go
+++ b/cmd/plan.go
@@ -38,13 +38,13 @@
 	}
 	o.add(c)
 	c.Flags().StringVarP(&file, "file", "f", "", "intent file, or - for standard input")
-	c.Flags().StringVar(&out, "out", "", "file to keep the plan in, for confirm --plan")
+	c.Flags().StringVar(&out, "out", "", "file to write the plan to, for confirm --plan")
 	return c
 }
 
 func makePlan(c *cobra.Command, o *operatorFlags, raw []byte) (intent.Plan, error) {
 	var p intent.Plan
-	a, err := o.ask(c.Context(), http.MethodPost, "/api/v1/plans", raw)
+	a, err := o.send(c.Context(), http.MethodPost, "/api/v1/plans", raw)
 	if err != nil {
 		return p, err
 	}
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// signs marks the actions of a plan.
-var signs = map[intent.Action]string{intent.ActionAdd: "+", intent.ActionRemove: "-", intent.ActionSet: "~"}
+// actionSigns maps the actions of a plan to the signs that mark them in the output.
+var actionSigns = map[intent.Action]string{intent.ActionAdd: "+", intent.ActionRemove: "-", intent.ActionSet: "~"}
 
 func printPlan(w io.Writer, p intent.Plan) error {
 	if len(p.Changes) == 0 {
@@ -82,7 +82,7 @@
 		return wrap(err, "print plan")
 	}
 	for _, ch := range p.Changes {
-		line := fmt.Sprintf("%s %s", signs[ch.Action], ch.Field)
+		line := fmt.Sprintf("%s %s", actionSigns[ch.Action], ch.Field)
 		switch ch.Action {
 		case intent.ActionAdd:
 			line += " = " + ch.After
--- a/cmd/platform.go
+++ b/cmd/platform.go
@@ -41,12 +41,12 @@
 	return c
 }
 
-// node is what every process on the platform has.
+// node holds what all processes on the platform have in common.
 type node struct {
-	set     setting.Node
-	metrics int
-	logs    io.Writer
-	reloads *reloads
+	set      setting.Node
+	metrics  int
+	logs     io.Writer
+	reloader *reloader
 }
 
 func nodeCommand(use, short string, options func(node) fx.Option) *cobra.Command {
@@ -58,7 +58,7 @@
 			if path == "" {
 				path = os.Getenv(platform.SettingsVariable)
 			}
-			n.reloads = newReloads(path)
+			n.reloader = newReloader(path)
 			set, err := platform.LoadNode(path)
 			if err != nil {
 				return wrap(err, use)
@@ -72,7 +72,7 @@
 	return c
 }
 
-// options provides what both roles need.
+// options returns the fx options that routers and agents share.
 func (n node) options() fx.Option {
 	return fx.Options(
 		fx.NopLogger, fx.StartTimeout(startTimeout), fx.StopTimeout(drainTimeout),
@@ -85,34 +85,36 @@
 			},
 			rpc.NewPool,
 		),
-		fx.Invoke(n.serveMetrics, n.reloads.watch, sweepPeers, watchClock),
+		fx.Invoke(n.serveMetrics, n.reloader.watch, closeIdleConnections, watchSuspensions),
 	)
 }
 
 const (
-	// sweepEvery is the time between two looks for connections to other processes that are not used, and unusedFor how long
-	// one is kept. Those that are in use carry a call several times a second.
-	sweepEvery = 5 * time.Second
-	unusedFor  = 10 * time.Second
+	// sweepInterval is the interval at which idle connections to other processes are closed, and
+	// idleTimeout how long one is kept. Connections in use carry a call several times a second.
+	sweepInterval = 5 * time.Second
+	idleTimeout   = 10 * time.Second
 )
 
-// sweepPeers closes connections to other processes that are not used any more, while the process runs.
-func sweepPeers(lc fx.Lifecycle, pool *rpc.Pool) {
-	repeat(lc, sweepEvery, func() { pool.Sweep(clock.Now(), unusedFor) })
+// closeIdleConnections closes idle connections to other processes while the process runs.
+func closeIdleConnections(lc fx.Lifecycle, pool *rpc.Pool) {
+	runEvery(lc, sweepInterval, func() { pool.Sweep(clock.Now(), idleTimeout) })
 }
 
-// lookEvery is the time between two looks at whether the VM was suspended. Decisions do not wait for one: they notice it by themselves,
-// unless the time of day was set back at the same time.
-const lookEvery = 500 * time.Millisecond
+// suspensionCheckInterval is the interval at which suspensions of the VM are checked for. Decisions
+// do not depend on this check: they detect a suspension themselves, unless the time of day was set
+// back at the same time.
+const suspensionCheckInterval = 500 * time.Millisecond
 
-// watchClock logs that the VM was suspended, while the process runs, or that this cannot be told.
-func watchClock(lc fx.Lifecycle, logger zerolog.Logger) {
-	before, able := clock.Suspended()
-	if !able {
+// watchSuspensions logs suspensions of the VM while the process runs, or that the clock cannot
+// detect them.
+func watchSuspensions(lc fx.Lifecycle, logger zerolog.Logger) {
+	before, ok := clock.Suspended()
+	if !ok {
 		logger.Warn().Msg("suspensions-not-counted")
 		return
 	}
-	repeat(lc, lookEvery, func() {
+	runEvery(lc, suspensionCheckInterval, func() {
 		total, _ := clock.Suspended()
 		if total > before {
 			logger.Warn().Int64("suspended_ms", (total-before).Milliseconds()).Int64("total_ms", total.Milliseconds()).Msg("vm-was-suspended")
@@ -121,14 +123,14 @@
 	})
 }
 
-// repeat calls f at intervals while the process runs.
-func repeat(lc fx.Lifecycle, every time.Duration, f func()) {
+// runEvery calls f at an interval while the process runs.
+func runEvery(lc fx.Lifecycle, interval time.Duration, f func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			go func() {
 				for ctx.Err() == nil {
-					sleep.For(ctx, every)
+					sleep.For(ctx, interval)
 					f()
 				}
 			}()
@@ -141,7 +143,8 @@
 	})
 }
 
-// serveMetrics serves the metrics on a port of the VM.
+// serveMetrics registers the metrics of the store and the connections, and serves all metrics on a
+// port of the VM unless the port is 0.
 func (n node) serveMetrics(lc fx.Lifecycle, m *metrics.Metrics, store *platform.Store, pool *rpc.Pool) error {
 	m.Each("store_calls_total", "Calls of the platform's store, by what they are for.", "call", true, func() []metrics.Sample {
 		var out []metrics.Sample
@@ -179,7 +182,7 @@
 	return nil
 }
 
-// self returns what a process tells others of itself.
+// self returns the information that the process reports to other processes about itself.
 func (n node) self(role vm.Role) peer.Info {
 	return peer.Info{
 		Name: n.set.Name, Role: role, DataCentre: n.set.DataCentre, Address: n.set.Peers, Callers: n.set.Callers,
@@ -191,7 +194,7 @@
 	return fx.Options(n.options(), fx.Invoke(n.runRank))
 }
 
-// runRank assembles the agent beside a rank.
+// runRank assembles the agent beside a rank and registers its start and stop.
 func (n node) runRank(lc fx.Lifecycle, store *platform.Store, pool *rpc.Pool, m *metrics.Metrics, logger zerolog.Logger) error {
 	if n.set.Engine == "" {
 		return setting.ErrInvalid{Field: "app", Reason: "is missing: an agent needs a model engine"}
@@ -214,7 +217,7 @@
 	}
 	self := n.self(vm.RoleAgent)
 	a := rank.New(clock.Now(), rank.Options{Self: self, Engine: platform.NewEngine(n.set.Engine), Store: store, Pool: pool, Bootstrap: n.set.Bootstrap, Dial: dial, Logger: logger})
-	measureLeadership(m, a)
+	registerLeadershipMetrics(m, a)
 	server := rpc.NewServer(l)
 	if err := server.Register("Rank", rank.NewAPI(a)); err != nil {
 		return wrap(err, "agent")
@@ -239,8 +242,9 @@
 	return nil
 }
 
-// measureLeadership serves whether the group of an agent's rank is led, as far as the agent knows.
-func measureLeadership(m *metrics.Metrics, a *rank.Agent) {
+// registerLeadershipMetrics registers the metrics for whether the group of an agent's rank has a
+// coordinator, according to the agent.
+func registerLeadershipMetrics(m *metrics.Metrics, a *rank.Agent) {
 	m.Each("group_led", "1 if the agent hears a coordinator of its rank's group, else 0; the group is empty while the engine has not told it.", "group", false, func() []metrics.Sample {
 		l := a.Leadership(clock.Now())
 		led := 0.0
--- a/cmd/platform_router.go
+++ b/cmd/platform_router.go
@@ -25,10 +25,11 @@
 )
 
 const (
-	// addressesHeld is the longest that callers hold an answer that names a router: three times the time
-	// in routers.NewDirectory, and a moment for requests on their way.
-	addressesHeld = 3300 * time.Millisecond
-	// killMargin is the time before the kill at which a process ends by itself.
+	// addressCacheTime is the longest time for which callers use the address of a router: three
+	// times the TTL of routers.NewDirectory, plus a margin for requests in transit.
+	addressCacheTime = 3300 * time.Millisecond
+	// killMargin is how long before the platform kills a stopping process the process exits by
+	// itself.
 	killMargin = 400 * time.Millisecond
 )
 
@@ -49,12 +50,12 @@
 		})
 		return age
 	})
-	measureCoverage(m, r)
+	registerCoverageMetrics(m, r)
 	m.Counter("upstream_connections_total", "Connections opened to upstreams.", nil, func() float64 { return float64(r.Connections()) })
 	return r
 }
 
-// entryProcess is a router on the platform.
+// entryProcess is a running router on the platform.
 type entryProcess struct {
 	node   node
 	router *entry.Router
@@ -67,7 +68,7 @@
 	cancel context.CancelFunc
 }
 
-// runEntry assembles a router.
+// runEntry assembles a router and registers its start and stop.
 func (n node) runEntry(lc fx.Lifecycle, store *platform.Store, pool *rpc.Pool, rl *relay.Relay, logger zerolog.Logger) error {
 	front, err := httpx.Listen(n.set.Callers)
 	if err != nil {
@@ -97,7 +98,7 @@
 		node: n, router: r, relay: rl, peers: server, pool: pool, store: store, logger: logger,
 		front: httpx.NewServer(front, rl),
 	}
-	n.reloads.add(func(set setting.Node) {
+	n.reloader.onReload(func(set setting.Node) {
 		r.Reload(set.Seeds, set.Bounds)
 		rl.Rebound(clock.Now(), set.Bounds)
 	})
@@ -116,8 +117,8 @@
 	return nil
 }
 
-// measureCoverage serves how many ranks there are, and of how many nobody tells the load.
-func measureCoverage(m *metrics.Metrics, r *relay.Relay) {
+// registerCoverageMetrics registers the metrics for the numbers of listed and unreported ranks.
+func registerCoverageMetrics(m *metrics.Metrics, r *relay.Relay) {
 	each := func(name, help string, count func(relay.Coverage) int) {
 		m.Each(name, help, "service", false, func() []metrics.Sample {
 			var out []metrics.Sample
@@ -131,18 +132,19 @@
 	each("ranks_unreported", "Ranks of model groups whose load no coordinator has told this router lately.", func(c relay.Coverage) int { return len(c.Unreported) })
 }
 
-// stop ends the router without cutting a request: it leaves the directory, serves until every answer
-// that named it has run out and every request has ended, and ends before it is killed.
+// stop shuts the router down gracefully. The router leaves the directory and serves until all
+// cached addresses of it have expired and no requests are in flight, or until killMargin before it
+// is killed.
 func (p *entryProcess) stop(ctx context.Context) error {
-	begun := clock.Now()
+	start := clock.Now()
 	p.logger.Info().Int("active", p.relay.Active()).Msg("stop")
-	p.relay.Leave(begun)
+	p.relay.Leave(start)
 	p.router.Leave(ctx)
-	last := begun.Add(p.node.set.Grace - killMargin)
-	for now := begun; now.Before(last) && (now.Sub(begun) < addressesHeld || p.relay.Active() > 0); now = clock.Now() {
-		time.Sleep(drainLook)
+	deadline := start.Add(p.node.set.Grace - killMargin)
+	for now := start; now.Before(deadline) && (now.Sub(start) < addressCacheTime || p.relay.Active() > 0); now = clock.Now() {
+		time.Sleep(drainPollInterval)
 	}
-	p.logger.Info().Int("active", p.relay.Active()).Int64("took_ms", clock.Since(begun).Milliseconds()).Msg("stopped")
+	p.logger.Info().Int("active", p.relay.Active()).Int64("took_ms", clock.Since(start).Milliseconds()).Msg("stopped")
 	err := p.front.Close()
 	p.cancel()
 	p.peers.Close()
@@ -152,5 +154,5 @@
 	return wrap(err, "stop router")
 }
 
-// drainLook is the time between two looks at whether requests are in flight.
-const drainLook = 20 * time.Millisecond
+// drainPollInterval is the interval at which stop checks for requests in flight.
+const drainPollInterval = 20 * time.Millisecond
--- a/cmd/platform_status.go
+++ b/cmd/platform_status.go
@@ -21,44 +21,47 @@
 	"github.com/spf13/cobra"
 )
 
-// statusTime bounds the question to a router: a few ways between data centres, and a router that is busy.
-const statusTime = 2 * time.Second
+// statusTimeout is the timeout of a status request: enough for a few round trips between data
+// centres and a busy router.
+const statusTimeout = 2 * time.Second
 
-// newPlatformStatusCommand shows what routers know of the model groups.
+// newPlatformStatusCommand returns the command that shows routers' state of the model groups and
+// the store.
 func newPlatformStatusCommand() *cobra.Command {
-	output, of := "text", ""
+	output, serviceID := "text", ""
 	c := &cobra.Command{
 		Use:   "status ADDRESS...",
-		Short: "Show the model groups and the store as routers know them, by the routers' addresses for other processes",
-		Long: "Show which groups tell their load, who coordinates them, and which ranks belong to none that does; then how far each\n" +
-			"router knows the platform's store, and whether that has come back from a copy just now.\n" +
+		Short: "Show the model groups and the store as routers see them; ADDRESS is a router's address for other processes",
+		Long: "Show which groups report their load, their coordinators, and the ranks that no coordinator reports; then how far\n" +
+			"each router has read the platform's store, and whether that was recently restored from a copy.\n" +
 			"The exit code is 2 if ranks are unreported at a router, and 1 if a router does not answer.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, addresses []string) error {
 			if output != "text" && output != "json" {
 				return setting.ErrInvalid{Field: "--output", Value: output, Reason: "is neither text nor json"}
 			}
-			return showGroups(c.Context(), c.OutOrStdout(), addresses, service.ID(of), output == "json")
+			return showGroups(c.Context(), c.OutOrStdout(), addresses, service.ID(serviceID), output == "json")
 		},
 	}
 	c.Flags().StringVarP(&output, "output", "o", output, "text or json")
-	c.Flags().StringVar(&of, "service", "", "only groups of this service")
+	c.Flags().StringVar(&serviceID, "service", "", "only groups of this service")
 	return c
 }
 
-// showGroups asks routers for the groups of a service, or of all, and prints what they answer.
-func showGroups(ctx context.Context, w io.Writer, addresses []string, of service.ID, asJSON bool) error {
+// showGroups queries routers for the groups of a service, or of all services if it is empty, and
+// prints the answers.
+func showGroups(ctx context.Context, w io.Writer, addresses []string, id service.ID, asJSON bool) error {
 	pool := rpc.NewPool()
 	defer pool.Close()
 	var all []entry.GroupsStatus
 	unreported := 0
 	for _, address := range addresses {
 		if _, _, err := net.SplitHostPort(address); err != nil {
-			return setting.ErrInvalid{Field: "ADDRESS", Value: address, Reason: "is no host with a port"}
+			return setting.ErrInvalid{Field: "ADDRESS", Value: address, Reason: "is not of the form host:port"}
 		}
-		cctx, cancel := context.WithTimeout(ctx, statusTime)
+		cctx, cancel := context.WithTimeout(ctx, statusTimeout)
 		var s entry.GroupsStatus
-		err := pool.Call(cctx, address, "Router.Groups", of, &s)
+		err := pool.Call(cctx, address, "Router.Groups", id, &s)
 		cancel()
 		if err != nil {
 			return wrap(err, "ask router "+address)
@@ -81,7 +84,7 @@
 	return nil
 }
 
-// printAll prints the groups and then what is known of the store.
+// printAll prints the groups and then the state of the store.
 func printAll(w io.Writer, all []entry.GroupsStatus) error {
 	if err := printGroups(w, all); err != nil {
 		return err
@@ -89,7 +92,7 @@
 	return printStore(w, all)
 }
 
-// printStore prints a line for what each router knows of the store.
+// printStore prints a line for each router with its state of the store.
 func printStore(w io.Writer, all []entry.GroupsStatus) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "ROUTER\tSTORE ERA\tKNOWN FOR s\tSTATE\tVERSION\tPROVEN ms AGO\tCATALOGS\tUPSTREAMS")
@@ -106,7 +109,8 @@
 	return wrap(t.Flush(), "print store")
 }
 
-// printGroups prints a line for each group at each router, and one for the ranks of each service that nobody tells of.
+// printGroups prints a line for each group at each router, and one for the unreported ranks of each
+// service.
 func printGroups(w io.Writer, all []entry.GroupsStatus) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "ROUTER\tSERVICE\tGROUP\tCOORDINATOR\tAUTHORITY\tTOLD ms AGO\tSTATE\tRANKS\tRUNNING\tWAITING\tSKEW")
@@ -124,7 +128,7 @@
 	return wrap(t.Flush(), "print groups")
 }
 
-// groupState names the state of a group.
+// groupState returns the name of a group's state.
 func groupState(g entry.GroupStatus) string {
 	switch {
 	case g.Open:
--- a/cmd/platform_status_test.go
+++ b/cmd/platform_status_test.go
@@ -23,7 +23,7 @@
 	"github.com/rs/zerolog"
 )
 
-// TestPrintGroups checks the lines of groups, and of ranks that belong to none.
+// TestPrintGroups checks the lines of groups and of ranks that no coordinator reports.
 func TestPrintGroups(t *testing.T) {
 	g := entry.GroupStatus{
 		Coordinator: entry.Coordinator{Group: "g0", Service: "m", Authority: 3, Address: "10.1.0.1:80"},
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestPrintStore checks the lines of the store.
+// TestPrintStore checks the lines with routers' state of the store.
 func TestPrintStore(t *testing.T) {
 	at := func(era services.Era, o services.Offset) services.Place { return services.Place{Era: era, Offset: o} }
 	all := []entry.GroupsStatus{
@@ -71,16 +71,17 @@
 	}
 }
 
-// TestPlatformStatusRefuses checks what the command refuses, and that a router which does not answer is an error.
+// TestPlatformStatusRefuses checks that the command rejects invalid arguments, and that it fails if
+// a router does not answer.
 func TestPlatformStatusRefuses(t *testing.T) {
 	cases := map[string]struct {
 		args []string
 		want string
 	}{
-		"no address":       {nil, "requires at least 1 arg"},
-		"no port":          {[]string{"10.0.0.1"}, "ADDRESS"},
-		"another format":   {[]string{"-o", "xml", "127.0.0.1:1"}, "--output"},
-		"nobody answering": {[]string{"127.0.0.1:1"}, "ask router 127.0.0.1:1"},
+		"no address":     {nil, "requires at least 1 arg"},
+		"no port":        {[]string{"10.0.0.1"}, "ADDRESS"},
+		"unknown format": {[]string{"-o", "xml", "127.0.0.1:1"}, "--output"},
+		"no answer":      {[]string{"127.0.0.1:1"}, "ask router 127.0.0.1:1"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -92,14 +93,14 @@
 	}
 }
 
-// TestAlerts checks that the alerts on leadership name metrics which agents and routers serve.
+// TestAlerts checks that the alerts on leadership refer to metrics which agents and routers serve.
 func TestAlerts(t *testing.T) {
 	m := metrics.New("p")
 	a := rank.New(time.Now(), rank.Options{Engine: platform.NewEngine("127.0.0.1:1"), Logger: zerolog.Nop()})
-	measureLeadership(m, a)
+	registerLeadershipMetrics(m, a)
 	rl := relay.New(relay.Options{Metrics: m, Logger: zerolog.Nop()})
 	defer rl.Close()
-	measureCoverage(m, rl)
+	registerCoverageMetrics(m, rl)
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	if want := `fawnwinch_group_led{group=""} 0`; !strings.Contains(w.Body.String(), want) {
@@ -109,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	names := map[string]bool{"fawnwinch_ranks_unreported": true, "fawnwinch_ranks_listed": true} // without samples as no service is known here
+	names := map[string]bool{"fawnwinch_ranks_unreported": true, "fawnwinch_ranks_listed": true} // no samples: there is no service in this test
 	for _, f := range served {
 		names[f.GetName()] = true
 	}
@@ -119,7 +120,7 @@
 	}
 	for _, name := range regexp.MustCompile(`fawnwinch_(group|ranks)_[a-z_]+`).FindAllString(string(raw), -1) {
 		if !names[name] {
-			t.Errorf("an alert names %s, which nobody serves", name)
+			t.Errorf("an alert refers to %s, which no process serves", name)
 		}
 	}
 }
--- a/cmd/platform_timeline_test.go
+++ b/cmd/platform_timeline_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// TestPlatformTimeline checks which lines of which logs are shown, and in which order.
+// TestPlatformTimeline checks the selection and the order of the log lines.
 func TestPlatformTimeline(t *testing.T) {
 	dir := t.TempDir()
 	logs := map[string]string{
@@ -37,12 +37,12 @@
 	}{
 		"all":                             {nil, "ready group-load answered refused group-load", ""},
 		"a request":                       {[]string{"--request", "r1"}, "refused", ""},
-		"a request and what was going on": {[]string{"--request", "r1", "--around"}, "group-load refused", ""},
+		"a request and the events around": {[]string{"--request", "r1", "--around"}, "group-load refused", ""},
 		"an event":                        {[]string{"--event", "group-load"}, "group-load group-load", ""},
 		"a process":                       {[]string{"--process", "front-1"}, "ready answered refused", ""},
-		"a request that nobody knows":     {[]string{"--request", "r9"}, "", "r9"},
-		"around nothing":                  {[]string{"--around"}, "", "--request"},
-		"a file that is not there":        {[]string{filepath.Join(dir, "none.log")}, "", "none.log"},
+		"an unknown request":              {[]string{"--request", "r9"}, "", "r9"},
+		"around without a request":        {[]string{"--around"}, "", "--request"},
+		"a missing file":                  {[]string{filepath.Join(dir, "none.log")}, "", "none.log"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/reload.go
+++ b/cmd/reload.go
@@ -19,56 +19,57 @@
 	"go.uber.org/fx"
 )
 
-// checkEvery is the time between two looks at whether the settings file has changed: the platform may
-// write it without a signal.
-const checkEvery = 2 * time.Second
+// checkInterval is the interval at which the settings file is checked for changes, since the
+// platform may write it without sending a signal.
+const checkInterval = 2 * time.Second
 
-// reloads reads the settings again on SIGHUP, and when their file has changed. What cannot change while a
-// process runs (addresses, names) stays as it was until the next start.
-type reloads struct {
+// reloader reloads the settings on SIGHUP and when their file has changed. Settings that cannot
+// change while a process runs (addresses, names) take effect at the next start.
+type reloader struct {
 	path    string
 	signals chan os.Signal
 
-	mu   sync.Mutex
-	take []func(setting.Node)
-	// seen is the content of the file when it was last looked at.
-	seen []byte
+	mu       sync.Mutex
+	handlers []func(setting.Node)
+	// lastContent is the content of the file at the last check.
+	lastContent []byte
 }
 
-// newReloads returns what reads the settings in a file again. From now on SIGHUP does not end the process: one that comes before the
-// process watches for it is taken then.
-func newReloads(path string) *reloads {
-	r := &reloads{path: path, signals: make(chan os.Signal, 1)}
+// newReloader returns a reloader for a settings file. After this call SIGHUP does not terminate the
+// process: one that arrives before watch runs is handled when watch starts.
+func newReloader(path string) *reloader {
+	r := &reloader{path: path, signals: make(chan os.Signal, 1)}
 	signal.Notify(r.signals, syscall.SIGHUP)
 	return r
 }
 
-// add calls f with the settings after each reload that succeeds.
-func (r *reloads) add(f func(setting.Node)) {
+// onReload registers f to be called with the settings after each successful reload.
+func (r *reloader) onReload(f func(setting.Node)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.take = append(r.take, f)
+	r.handlers = append(r.handlers, f)
 }
 
-// watch takes signals while the process runs.
-func (r *reloads) watch(lc fx.Lifecycle, logger zerolog.Logger) {
+// watch handles signals and file changes while the process runs.
+func (r *reloader) watch(lc fx.Lifecycle, logger zerolog.Logger) {
 	done := make(chan struct{})
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			r.changed() // what the process has started with
+			r.changed() // records the content that the process has started with
 			go r.run(done, logger)
 			return nil
 		},
 		OnStop: func(context.Context) error {
-			// The signal stays taken: its default would end a process that is stopping.
+			// SIGHUP stays registered: its default action would terminate the process while it
+			// stops.
 			close(done)
 			return nil
 		},
 	})
 }
 
-func (r *reloads) run(done <-chan struct{}, logger zerolog.Logger) {
-	tick := time.NewTicker(checkEvery)
+func (r *reloader) run(done <-chan struct{}, logger zerolog.Logger) {
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -85,22 +86,23 @@
 	}
 }
 
-// changed reports whether the file has changed since it was last looked at. A file that cannot be read,
-// such as one that is just being replaced, counts as it was.
-func (r *reloads) changed() bool {
+// changed reports whether the file has changed since the last check. A file that cannot be read,
+// such as one that is being replaced, is treated as unchanged.
+func (r *reloader) changed() bool {
 	raw, err := os.ReadFile(r.path)
 	if err != nil {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	same := bytes.Equal(raw, r.seen)
-	r.seen = raw
+	same := bytes.Equal(raw, r.lastContent)
+	r.lastContent = raw
 	return !same
 }
 
-// reload reads the settings. Settings that cannot be used change nothing.
-func (r *reloads) reload(logger zerolog.Logger) {
+// reload reads the settings and passes them to the registered functions. Invalid settings are
+// rejected and change nothing.
+func (r *reloader) reload(logger zerolog.Logger) {
 	set, err := platform.LoadNode(r.path)
 	if err != nil {
 		logger.Error().Err(err).Msg("reload-refused")
@@ -108,7 +110,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, f := range r.take {
+	for _, f := range r.handlers {
 		f(set)
 	}
 	logger.Info().Str("settings", r.path).Msg("reload")
--- a/cmd/reload_test.go
+++ b/cmd/reload_test.go
@@ -19,37 +19,38 @@
 	"go.uber.org/fx/fxtest"
 )
 
-// nodeSettings are settings as the platform writes them; the names and addresses are made up.
+// nodeSettings are settings in the platform's format, with invented names and addresses.
 var nodeSettings = platformtest.NodeFile{
 	Name: "entry-1", IP: "127.0.0.1", Zone: "a", Ports: [2]int{7001, 7002}, Seeds: []string{"127.0.0.1:7003"},
 	Front: "127.0.0.1:7004", Store: "127.0.0.1:7005",
 }.Text()
 
-// TestHangUpAtStart sends SIGHUP before the process watches for it: the process goes on, and takes the settings over once it does.
+// TestHangUpAtStart checks that a SIGHUP which arrives before the process watches for it does not
+// terminate the process, and reloads the settings once it watches.
 func TestHangUpAtStart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	if err := os.WriteFile(path, []byte(nodeSettings), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r := newReloads(path)
+	r := newReloader(path)
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	taken := make(chan setting.Node, 1)
-	r.add(func(n setting.Node) { taken <- n })
+	applied := make(chan setting.Node, 1)
+	r.onReload(func(n setting.Node) { applied <- n })
 	lc := fxtest.NewLifecycle(t)
 	r.watch(lc, zerolog.Nop())
 	lc.RequireStart()
 	defer lc.RequireStop()
 	select {
-	case <-taken:
+	case <-applied:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the settings were not read again")
+		t.Fatal("the settings were not reloaded")
 	}
 }
 
-// TestHangUp checks that a process which gets SIGHUP goes on and takes the settings over, and that
-// settings which cannot be used change nothing.
+// TestHangUp checks that SIGHUP reloads the settings without terminating the process, and that
+// invalid settings change nothing.
 func TestHangUp(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	write := func(text string) {
@@ -58,9 +59,9 @@
 		}
 	}
 	write(nodeSettings)
-	r := newReloads(path)
-	taken := make(chan setting.Node, 1)
-	r.add(func(n setting.Node) { taken <- n })
+	r := newReloader(path)
+	applied := make(chan setting.Node, 1)
+	r.onReload(func(n setting.Node) { applied <- n })
 	lc := fxtest.NewLifecycle(t)
 	r.watch(lc, zerolog.Nop())
 	lc.RequireStart()
@@ -69,24 +70,24 @@
 		t.Fatal(err)
 	}
 	select {
-	case n := <-taken:
+	case n := <-applied:
 		if n.Bounds.KeyFreshness != 5*time.Second || len(n.Seeds) != 1 {
-			t.Errorf("settings taken: %+v", n)
+			t.Errorf("settings applied: %+v", n)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("the settings were not read again")
+		t.Fatal("the settings were not reloaded")
 	}
 	if r.changed() {
-		t.Error("settings that are as they were count as changed")
+		t.Error("unchanged settings were reported as changed")
 	}
 	write(strings.Replace(nodeSettings, "revokeMs = 5000", "revokeMs = 4000", 1))
 	if !r.changed() || r.changed() {
-		t.Error("a change without a signal must be seen once")
+		t.Error("a change without a signal was not reported exactly once")
 	}
 	var logs bytes.Buffer
 	write(strings.Replace(nodeSettings, "graceS = 8", "graceS = -1", 1))
 	r.reload(zerolog.New(&logs))
-	if !strings.Contains(logs.String(), "GraceS") || !strings.Contains(logs.String(), "-1") || len(taken) > 0 {
-		t.Errorf("bad settings were taken, or the log does not name them: %s", logs.String())
+	if !strings.Contains(logs.String(), "GraceS") || !strings.Contains(logs.String(), "-1") || len(applied) > 0 {
+		t.Errorf("invalid settings were applied, or the log does not name them: %s", logs.String())
 	}
 }
--- a/cmd/root.go
+++ b/cmd/root.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package cmd holds the command line: one file a subcommand.
+// Package cmd implements the command line, with one file for each subcommand.
 package cmd
 
 import (
@@ -22,7 +22,7 @@
 	exitChanges = 2
 )
 
-// errExit carries an exit code without a message.
+// errExit makes the command exit with a code without printing a message.
 type errExit struct{ code int }
 
 func (e errExit) Error() string { return fmt.Sprintf("exit code %d", e.code) }
--- a/cmd/router.go
+++ b/cmd/router.go
@@ -58,7 +58,7 @@
 // routerOptions assembles a router.
 func routerOptions(set setting.Router, ss sockets, logs io.Writer) fx.Option {
 	return fx.Options(
-		common(set.Process, ss, logs),
+		commonOptions(set.Process, ss, logs),
 		fx.Supply(set),
 		fx.Provide(
 			func() *platform.Client { return platform.NewClient(set.Platform.Address) },
@@ -138,18 +138,18 @@
 	p.rpc.Start()
 	p.done.Go(func() { p.follower.Run(ctx) })
 	p.done.Go(func() { p.dir.Run(ctx) })
-	p.done.Go(func() { p.becomeReady(ctx) })
+	p.done.Go(func() { p.markReady(ctx) })
 	p.http.Start()
 	p.logger.Info().Str("http", p.http.Addr()).Msg("router started")
 	return nil
 }
 
-// readyPoll is the time between two looks at whether the configuration is known.
-const readyPoll = 50 * time.Millisecond
+// readyPollInterval is the interval at which markReady checks whether the router may serve.
+const readyPollInterval = 50 * time.Millisecond
 
-// becomeReady lets callers be sent here once the configuration is known.
-func (p *routerProcess) becomeReady(ctx context.Context) {
-	ticker := time.NewTicker(readyPoll)
+// markReady waits until the router has a configuration to serve and then announces it as ready.
+func (p *routerProcess) markReady(ctx context.Context) {
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for !p.dir.Ready(clock.Now()) {
 		select {
@@ -163,16 +163,16 @@
 	p.logger.Info().Msg("router ready")
 }
 
-// stop ends the router without cutting a request: it leaves, serves until every answer that named
-// it has run out and every request has ended, and closes then.
+// stop shuts the router down gracefully. The router announces that it is leaving, serves until all
+// cached addresses of it have expired and all requests have ended, and then closes.
 func (p *routerProcess) stop(ctx context.Context) error {
 	p.dir.SetState(membership.RouterLeaving)
 	p.ring.Add(clock.Now(), timeline.Event{Kind: timeline.KindDrain, Name: "leaving"})
 	p.logger.Info().Msg("leaving")
-	t := time.NewTimer(p.set.AddressTTL + membership.Interval(p.set.Process.Heartbeat).Suspect())
-	defer t.Stop()
+	timer := time.NewTimer(p.set.AddressTTL + membership.Interval(p.set.Process.Heartbeat).Suspect())
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	err := p.http.Stop(ctx)
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -19,7 +19,7 @@
 )
 
 func newStandinCommand() *cobra.Command {
-	c := &cobra.Command{Use: "standin", Short: "Run a small stand-in of an outside system, for tests"}
+	c := &cobra.Command{Use: "standin", Short: "Run a stand-in for an external system, for tests"}
 	c.AddCommand(newStandinPlatform(), newStandinUpstream())
 	return c
 }
@@ -29,7 +29,7 @@
 	var address string
 	c := &cobra.Command{
 		Use:   "platform",
-		Short: "Run the log, the VM list and the weight store",
+		Short: "Run a stand-in for the log, the VM list and the weight store",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			s := platformstandin.New(o)
@@ -40,9 +40,9 @@
 	f := c.Flags()
 	f.StringVar(&address, "listen", "127.0.0.1:7900", "address to listen on")
 	f.DurationVar(&o.Retention, "retention", o.Retention, "how long records are kept")
-	f.IntVar(&o.AppendsPerSecond, "appends", o.AppendsPerSecond, "appends a second over all streams")
-	f.DurationVar(&o.ListLag, "list-lag", o.ListLag, "how long the VM list stays behind")
-	f.IntVar(&o.WeightBytesPerSecond, "weight-rate", o.WeightBytesPerSecond, "bytes a second of the weight store")
+	f.IntVar(&o.AppendsPerSecond, "appends", o.AppendsPerSecond, "maximum appends per second over all streams")
+	f.DurationVar(&o.ListLag, "list-lag", o.ListLag, "how long the VM list lags behind")
+	f.IntVar(&o.WeightBytesPerSecond, "weight-rate", o.WeightBytesPerSecond, "throughput of the weight store, in bytes per second")
 	return c
 }
 
@@ -65,11 +65,11 @@
 	}
 	f := c.Flags()
 	f.StringVar(&kind, "kind", "plain", "plain or group")
-	f.StringVar(&addresses, "listen", "127.0.0.1:7800", "addresses to listen on, one a rank, with commas between")
+	f.StringVar(&addresses, "listen", "127.0.0.1:7800", "comma-separated addresses to listen on, one for each rank")
 	f.StringVar(&id, "group", "group", "id of the group")
 	f.DurationVar(&o.StepTime, "step", o.StepTime, "duration of an even step")
-	f.DurationVar(&o.ReportLag, "report-lag", o.ReportLag, "how old the reported load may be")
-	f.BoolVar(&o.ChecksFence, "checks-fence", o.ChecksFence, "refuse orders with an old fence")
+	f.DurationVar(&o.ReportLag, "report-lag", o.ReportLag, "maximum age of the reported load")
+	f.BoolVar(&o.ChecksFence, "checks-fence", o.ChecksFence, "reject orders with a stale fence")
 	return c
 }
 
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// standinGrace is how long a stand-in waits for its requests when it is stopped.
-const standinGrace = 2 * time.Second
+// standinStopTimeout is how long a stopping stand-in waits for requests in flight.
+const standinStopTimeout = 2 * time.Second
 
 func serve(ctx context.Context, address string, h http.Handler) error {
 	l, err := httpx.Listen(address)
@@ -103,7 +103,7 @@
 	s := httpx.NewServer(l, h)
 	s.Start()
 	<-ctx.Done()
-	sctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), standinGrace)
+	sctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), standinStopTimeout)
 	defer cancel()
 	_ = s.Stop(sctx)
 	return nil
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -92,8 +92,8 @@
 	fl.StringVar(&f.request, "request", "", "only events of this request id")
 	fl.StringVar(&f.group, "group", "", "only events of this group")
 	fl.StringVar(&f.kind, "kind", "", "only events of this kind")
-	fl.BoolVar(&follow, "follow", false, "go on as events come")
-	fl.DurationVar(&every, "every", time.Second, "time between two questions with --follow")
+	fl.BoolVar(&follow, "follow", false, "keep printing new events")
+	fl.DurationVar(&every, "every", time.Second, "poll interval with --follow")
 	return c
 }
 
--- a/cmd/version.go
+++ b/cmd/version.go
@@ -25,10 +25,10 @@
 	}
 }
 
-// wrap adds a few words to an error, if there is one.
-func wrap(err error, words string) error {
+// wrap prefixes err with a message. It returns nil if err is nil.
+func wrap(err error, message string) error {
 	if err == nil {
 		return nil
 	}
-	return fmt.Errorf("%s: %w", words, err)
+	return fmt.Errorf("%s: %w", message, err)
 }
