--- a/contrib/compare/journal.go
+++ b/contrib/compare/journal.go
@@ -11,28 +11,30 @@
 	"slices"
 )
 
-// pair names what is played by each variant: a day of a site, and how it goes. Seed is 0 where the day's own was taken.
+// pair identifies what each variant plays: a day at a site with a seed. Seed is 0 if the day's own
+// seed is used.
 type pair struct {
 	Site, Day string
 	Seed      uint64
 }
 
-// cell is a play of a variant.
-type cell struct {
+// playKey identifies the play of a pair by a variant.
+type playKey struct {
 	Variant variantName
 	Pair    pair
 }
 
-// play is the outcome of a play.
+// play is the result of one run of a variant on a day.
 type play struct {
-	// Worth and Served are parts of what was owed; Worth is less what was paid.
+	// Worth and Served are fractions of what was owed; Worth is net of what was paid.
 	Worth, Served float64
-	// Broken counts the rules that were broken, and Failed says that the play came to no figure.
+	// Broken is the number of rules that were broken. Failed reports whether the play gave no
+	// result.
 	Broken int
 	Failed bool
 }
 
-// entry is a journal entry, as far as it matters here.
+// entry holds the fields of a journal entry that the comparison uses.
 type entry struct {
 	Arguments []string `json:"argv"`
 	Why       string   `json:"why"`
@@ -48,21 +50,22 @@
 	} `json:"days"`
 }
 
-// plays reads what the journals of all variants hold of a trial. Of two plays of the same the later counts.
-func (t *trial) plays() (map[cell]play, error) {
-	out := map[cell]play{}
+// plays reads the plays of a trial from the journals of all variants. If a pair was played more
+// than once, the last play is used.
+func (t *trial) plays() (map[playKey]play, error) {
+	out := map[playKey]play{}
 	for _, v := range t.Variants {
 		files, err := filepath.Glob(filepath.Join(v.Checkout, "journal", "*.json"))
 		if err != nil {
 			return nil, fmt.Errorf("list journal of %s: %w", v.Name, err)
 		}
-		slices.Sort(files) // names begin with the time
+		slices.Sort(files) // names begin with the time, so the last play comes last
 		for _, f := range files {
 			e, err := readEntry(f)
 			if err != nil {
 				return nil, err
 			}
-			if e.Why == t.reason(v.Name) {
+			if e.Why == t.journalReason(v.Name) {
 				e.add(v.Name, out)
 			}
 		}
@@ -71,7 +74,7 @@
 }
 
 func readEntry(file string) (*entry, error) {
-	raw, err := os.ReadFile(file) //nolint:gosec // whoever compares names the directory
+	raw, err := os.ReadFile(file) //nolint:gosec // the user names the directory
 	if err != nil {
 		return nil, fmt.Errorf("read journal: %w", err)
 	}
@@ -82,12 +85,12 @@
 	return e, nil
 }
 
-func (e *entry) add(v variantName, into map[cell]play) {
+func (e *entry) add(v variantName, plays map[playKey]play) {
 	for _, d := range e.Days {
 		p := pair{Site: e.Site, Day: d.Name}
 		if slices.Contains(e.Arguments, "--seed") {
 			p.Seed = d.Seed
 		}
-		into[cell{v, p}] = play{Worth: d.Worth, Served: d.Served, Broken: len(d.Rules), Failed: !e.OK || d.Fault != nil}
+		plays[playKey{v, p}] = play{Worth: d.Worth, Served: d.Served, Broken: len(d.Rules), Failed: !e.OK || d.Fault != nil}
 	}
 }
--- a/contrib/compare/main.go
+++ b/contrib/compare/main.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Command compare plans plays of variants of the product on the same days, and compares them in pairs by what the journal of plays
-// says. It starts no plays itself: plan prints a line of shell for each play that is still missing, so that a series that was broken
-// off goes on where it stopped.
+// Command compare compares variants of the product in pairs, by the journal entries of their plays
+// (runs) on the same days. It does not start plays itself: plan prints a shell command for each
+// missing play, so that an interrupted series can be resumed.
 package main
 
 import (
@@ -29,8 +29,8 @@
 	return root
 }
 
-// readTrial reads a trial and what was played of it.
-func readTrial(path string) (*trial, map[cell]play, error) {
+// readTrial reads a trial and the results of its plays so far.
+func readTrial(path string) (*trial, map[playKey]play, error) {
 	t, err := loadTrial(path)
 	if err != nil {
 		return nil, nil, err
@@ -42,7 +42,7 @@
 func newPlan() *cobra.Command {
 	return &cobra.Command{
 		Use:   "plan TRIAL",
-		Short: "Print a line of shell for each play that the journals of the checkouts do not hold yet",
+		Short: "Print a shell command for each play that is missing from the journals of the checkouts",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			t, plays, err := readTrial(args[0])
@@ -60,7 +60,7 @@
 }
 
 func newReport() *cobra.Command {
-	var picture string
+	var plotFile string
 	c := &cobra.Command{
 		Use:   "report TRIAL",
 		Short: "Print the comparison as a Markdown table",
@@ -70,16 +70,16 @@
 			if err != nil {
 				return err
 			}
-			sums := t.compare(plays)
-			if err := writeTable(c.OutOrStdout(), t, sums); err != nil {
+			comparisons := t.compare(plays)
+			if err := writeTable(c.OutOrStdout(), t, comparisons); err != nil {
 				return err
 			}
-			if picture == "" {
+			if plotFile == "" {
 				return nil
 			}
-			return drawPicture(picture, t, sums)
+			return drawPlot(plotFile, t, comparisons)
 		},
 	}
-	c.Flags().StringVar(&picture, "plot", "", "file for a plot of the differences (.png or .svg)")
+	c.Flags().StringVar(&plotFile, "plot", "", "file for a plot of the differences (.png or .svg)")
 	return c
 }
--- a/contrib/compare/pairs.go
+++ b/contrib/compare/pairs.go
@@ -10,47 +10,50 @@
 )
 
 const (
-	// loss is the mean difference in worth at one site from which on a variant does harm there.
-	loss = 0.02
-	// sureErrors is how many standard errors a mean difference must exceed 0 by to count as one.
-	sureErrors = 2
+	// harmThreshold is the mean loss of worth at one site above which a variant does harm there.
+	harmThreshold = 0.02
+	// minStandardErrors is the number of standard errors that a mean difference must exceed to be
+	// significant.
+	minStandardErrors = 2
 )
 
-// summary is what the pairs of a variant and the base show, at one site or at all.
+// summary summarises the pairs of a variant and the base, at one site or at all sites.
 type summary struct {
-	// Pairs counts the pairs of which both were played to an end, and Better those in which the variant was worth more.
+	// Pairs is the number of pairs with two complete plays, and Better the number of those in which
+	// the variant was worth more.
 	Pairs, Better int
 	// Mean is the mean difference in worth, and Spread its standard deviation over the pairs.
 	Mean, Spread float64
-	// Served is the mean difference in what was served.
+	// Served is the mean difference in the served fraction.
 	Served float64
-	// Broken counts rules that the variant broke, and Failed the plays of it that came to no figure.
+	// Broken is the number of rules that the variant broke, and Failed the number of its plays that
+	// gave no result.
 	Broken, Failed int
 }
 
-// comparison is one variant against the base.
+// comparison is the comparison of one variant with the base.
 type comparison struct {
 	Variant variantName
 	Sites   map[string]summary
 	All     summary
 }
 
-// outcome tells what a comparison amounts to.
+// outcome is the conclusion of a comparison.
 type outcome string
 
 // The outcomes.
 const (
-	outcomeBroken  outcome = "breaks rules"
-	outcomeHarm    outcome = "does harm"
-	outcomeBetter  outcome = "better"
-	outcomeNothing outcome = "no difference"
-	outcomeUnknown outcome = "not played"
+	outcomeBreaksRules  outcome = "breaks rules"
+	outcomeHarm         outcome = "does harm"
+	outcomeBetter       outcome = "better"
+	outcomeNoDifference outcome = "no difference"
+	outcomeNotPlayed    outcome = "not played"
 )
 
-// compare pairs the plays of each variant with those of the base.
-func (t *trial) compare(plays map[cell]play) []comparison {
+// compare compares the plays of each variant in pairs with those of the base.
+func (t *trial) compare(plays map[playKey]play) []comparison {
 	var out []comparison
-	for _, v := range t.others() {
+	for _, v := range t.candidates() {
 		var all []difference
 		c := comparison{Variant: v.Name, Sites: map[string]summary{}}
 		for _, site := range t.siteNames() {
@@ -64,23 +67,23 @@
 	return out
 }
 
-// difference is a pair of plays.
+// difference is the pair of plays of the base and a variant on the same day.
 type difference struct{ base, variant play }
 
-// gain returns how much more the variant was worth.
+// gain returns the difference in worth, positive if the variant was worth more.
 func (d difference) gain() float64 { return d.variant.Worth - d.base.Worth }
 
-func differences(plays map[cell]play, base, v variantName, site string) []difference {
+func differences(plays map[playKey]play, base, v variantName, site string) []difference {
 	var out []difference
 	for c, p := range plays {
 		if c.Variant != v || c.Pair.Site != site {
 			continue
 		}
-		if b, ok := plays[cell{base, c.Pair}]; ok && !b.Failed {
+		if b, ok := plays[playKey{base, c.Pair}]; ok && !b.Failed {
 			out = append(out, difference{b, p})
 		}
 	}
-	// Sums of floats depend on their order, and maps have none.
+	// Floating-point sums depend on the order of the terms, and map iteration has none.
 	slices.SortFunc(out, func(a, b difference) int {
 		return cmp.Compare(a.gain(), b.gain())
 	})
@@ -116,27 +119,28 @@
 	return s
 }
 
-// sure reports whether a mean difference is more than the spread of the pairs explains.
-func (s summary) sure() bool {
-	return s.Pairs > 1 && math.Abs(s.Mean) > sureErrors*s.Spread/math.Sqrt(float64(s.Pairs))
+// significant reports whether the mean difference exceeds minStandardErrors standard errors.
+func (s summary) significant() bool {
+	return s.Pairs > 1 && math.Abs(s.Mean) > minStandardErrors*s.Spread/math.Sqrt(float64(s.Pairs))
 }
 
-// outcome judges a variant: one that gains in the mean but does harm at a site is no gain.
+// outcome returns the conclusion for a variant. A variant that does harm at any site counts as
+// harmful, even if its mean over all sites is better.
 func (c *comparison) outcome() outcome {
 	if c.All.Broken > 0 || c.All.Failed > 0 {
-		return outcomeBroken
+		return outcomeBreaksRules
 	}
 	if c.All.Pairs == 0 {
-		return outcomeUnknown
+		return outcomeNotPlayed
 	}
 	for _, s := range c.Sites {
-		if s.Pairs > 0 && s.Mean < -loss {
+		if s.Pairs > 0 && s.Mean < -harmThreshold {
 			return outcomeHarm
 		}
 	}
 	switch {
-	case !c.All.sure():
-		return outcomeNothing
+	case !c.All.significant():
+		return outcomeNoDifference
 	case c.All.Mean < 0:
 		return outcomeHarm
 	default:
--- a/contrib/compare/picture.go
+++ b/contrib/compare/picture.go
@@ -12,8 +12,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// drawPicture draws the mean difference of each variant at each site.
-func drawPicture(file string, t *trial, list []comparison) error {
+// drawPlot draws the mean difference of each variant at each site.
+func drawPlot(file string, t *trial, list []comparison) error {
 	p := plot.New()
 	p.X.Label.Text = "difference in worth against " + string(t.Base)
 	p.Legend.Top = true
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// sitePoints returns the mean differences at a site, a variant a line.
+// sitePoints returns the mean differences at a site, with a row for each variant.
 func sitePoints(list []comparison, site string) plotter.XYs {
 	var out plotter.XYs
 	for i, c := range list {
--- a/contrib/compare/table.go
+++ b/contrib/compare/table.go
@@ -9,7 +9,8 @@
 	"strings"
 )
 
-// writeTable writes the comparison as a Markdown table: a row a variant, a column a site.
+// writeTable writes the comparison as a Markdown table with a row for each variant and a column for
+// each site.
 func writeTable(w io.Writer, t *trial, list []comparison) error {
 	sites := t.siteNames()
 	var b strings.Builder
@@ -28,7 +29,7 @@
 	return nil
 }
 
-// String returns a summary as it stands in a table.
+// String returns the text of a summary in a table.
 func (s summary) String() string {
 	if s.Pairs == 0 && s.Failed == 0 {
 		return "not played"
--- a/contrib/compare/trial.go
+++ b/contrib/compare/trial.go
@@ -15,24 +15,27 @@
 // variantName names a variant of a trial.
 type variantName string
 
-// variant is a checkout of the sources that is played.
+// variant is a version of the product to be played.
 type variant struct {
 	Name variantName `yaml:"name" validate:"required"`
-	// Checkout is a directory with the sources, and the journal of its plays.
+	// Checkout is the directory with the variant's sources and the journal of its plays.
 	Checkout string `yaml:"checkout" validate:"required"`
 }
 
-// trial is what is played and compared.
+// trial defines which plays are run and compared.
 type trial struct {
-	// Why stands in the journal entry of each play, before the name of the variant.
+	// Why is the reason in the journal entry of each play. The name of the variant is appended to
+	// it.
 	Why string `yaml:"why" validate:"required"`
-	// Play is the command that plays a day, as far as the name of the site's file; Flags follow the day.
+	// Play is the command that plays a day, without its arguments: the site's file, the day and
+	// Flags.
 	Play  string   `yaml:"play" validate:"required"`
 	Flags []string `yaml:"flags"`
-	// Sites are the files of the deployments, and Days the days of each.
+	// Sites are the files of the deployments, and Days the days that are played at each.
 	Sites []string `yaml:"sites" validate:"min=1,dive,required"`
 	Days  []string `yaml:"days" validate:"min=1,dive,required"`
-	// Seeds are other ways in which each day may go; without any, a day goes as its file says.
+	// Seeds are the random seeds with which each day is played. If empty, the seed in the day's
+	// file is used.
 	Seeds []uint64 `yaml:"seeds"`
 	// Base is the variant that the others are compared with.
 	Base     variantName `yaml:"base" validate:"required"`
@@ -47,18 +50,18 @@
 	seen := map[variantName]bool{}
 	for _, v := range t.Variants {
 		if seen[v.Name] {
-			return nil, setting.ErrInvalid{File: path, Field: "variants.name", Value: string(v.Name), Reason: "stands twice"}
+			return nil, setting.ErrInvalid{File: path, Field: "variants.name", Value: string(v.Name), Reason: "is not unique"}
 		}
 		seen[v.Name] = true
 	}
 	if !seen[t.Base] {
-		return nil, setting.ErrInvalid{File: path, Field: "base", Value: string(t.Base), Reason: "is none of the variants"}
+		return nil, setting.ErrInvalid{File: path, Field: "base", Value: string(t.Base), Reason: "is not one of the variants"}
 	}
 	return t, nil
 }
 
-// reason is what stands in the journal entries of a variant's plays.
-func (t *trial) reason(v variantName) string { return t.Why + ", variant=" + string(v) }
+// journalReason returns the reason in the journal entries of a variant's plays.
+func (t *trial) journalReason(v variantName) string { return t.Why + ", variant=" + string(v) }
 
 // siteName returns the name of the deployment of a site's file.
 func siteName(file string) string { return strings.TrimSuffix(filepath.Base(file), filepath.Ext(file)) }
@@ -72,12 +75,13 @@
 	return out
 }
 
-// dayName returns the name of a day as journals tell it: the day's own, or that of its file.
+// dayName returns the name of a day in journals: the day's own name, or that of its file.
 func dayName(day string) string { return strings.TrimSuffix(filepath.Base(day), ".toml") }
 
-// missing returns the lines that play what is not in the journals yet, and the number of all plays. The variants of a day follow each
-// other, so that a series that is broken off leaves whole pairs.
-func (t *trial) missing(done map[cell]play) (lines []string, all int) {
+// missing returns the shell commands for the plays that are not in the journals yet, and the number
+// of all plays. The variants of a day follow each other, so that an interrupted series leaves
+// complete pairs.
+func (t *trial) missing(done map[playKey]play) (lines []string, all int) {
 	seeds := t.Seeds
 	if len(seeds) == 0 {
 		seeds = []uint64{0}
@@ -87,8 +91,8 @@
 			for _, seed := range seeds {
 				for _, v := range t.Variants {
 					all++
-					if _, ok := done[cell{v.Name, pair{siteName(site), dayName(day), seed}}]; !ok {
-						lines = append(lines, t.line(v, site, day, seed))
+					if _, ok := done[playKey{v.Name, pair{siteName(site), dayName(day), seed}}]; !ok {
+						lines = append(lines, t.shellLine(v, site, day, seed))
 					}
 				}
 			}
@@ -97,20 +101,20 @@
 	return lines, all
 }
 
-// line returns the line of shell that plays a day.
-func (t *trial) line(v variant, site, day string, seed uint64) string {
-	words := []string{"cd", quote(v.Checkout), "&&", t.Play, quote(site), quote(day)}
+// shellLine returns the shell command that plays a day.
+func (t *trial) shellLine(v variant, site, day string, seed uint64) string {
+	words := []string{"cd", shellQuote(v.Checkout), "&&", t.Play, shellQuote(site), shellQuote(day)}
 	if seed != 0 {
 		words = append(words, "--seed", fmt.Sprint(seed))
 	}
 	words = append(words, t.Flags...)
-	return strings.Join(append(words, "--why", quote(t.reason(v.Name))), " ")
+	return strings.Join(append(words, "--why", shellQuote(t.journalReason(v.Name))), " ")
 }
 
-// quote returns a word as shells read it.
-func quote(word string) string { return "'" + strings.ReplaceAll(word, "'", `'\''`) + "'" }
+// shellQuote quotes a word for the shell.
+func shellQuote(word string) string { return "'" + strings.ReplaceAll(word, "'", `'\''`) + "'" }
 
-// others returns the variants that are compared with the base.
-func (t *trial) others() []variant {
+// candidates returns the variants that are compared with the base.
+func (t *trial) candidates() []variant {
 	return slices.DeleteFunc(slices.Clone(t.Variants), func(v variant) bool { return v.Name == t.Base })
 }
