--- a/cmd/platform_router.go
+++ b/cmd/platform_router.go
@@ -28,8 +28,8 @@
 	// addressCacheTime is the longest time for which callers use the address of a router: three
 	// times the TTL of routers.NewDirectory, plus a margin for requests in transit.
 	addressCacheTime = 3300 * time.Millisecond
-	// killMargin is how long before the platform kills a stopping process the process exits by
-	// itself.
+	// killMargin is how long before the end of the grace period a stopping process exits by itself,
+	// since the platform kills it then.
 	killMargin = 400 * time.Millisecond
 )
 
