--- a/tests/integration/answers_test.go
+++ b/tests/integration/answers_test.go
@@ -21,8 +21,8 @@
 	"github.com/Shopify/toxiproxy/v2"
 )
 
-// TestWholeAnswers lets one of two upstreams answer badly. Callers get whole answers to their own
-// requests from the other one, or are told the truth.
+// TestWholeAnswers makes one of two upstreams return faulty answers. Callers must get complete
+// answers to their own requests from the other one, or the outcome unknown.
 func TestWholeAnswers(t *testing.T) {
 	faults := map[string]upstreamstandin.PlainFault{
 		"truncated":         {Truncate: true},
@@ -69,7 +69,7 @@
 	l := &links{proxies: map[upstream.ID]*toxiproxy.Proxy{}}
 	var c *cluster
 	c = newClusterInto(t, &c, options{
-		routers: 1, groups: 1, ranks: 3, agent: func(s *setting.Agent) { l.wrap(&c, s) },
+		routers: 1, groups: 1, ranks: 3, agent: func(s *setting.Agent) { l.addProxy(&c, s) },
 		router: func(s *setting.Router) { s.RetryRatio = 1 },
 	})
 	raw := `{"name":"cut","type":"limit_data","stream":"downstream","attributes":{"bytes":1500}}`
@@ -79,7 +79,7 @@
 	for i := range 24 {
 		prompt := fmt.Sprint("memo ", i)
 		text, end := c.chat(0, "small", prompt, 40, true)
-		if end.outcome != request.OutcomeAnswered || text != want(prompt, 40) {
+		if end.outcome != request.OutcomeAnswered || text != wantText(prompt, 40) {
 			t.Errorf("chat %d: %s %s, text %q", i, end.outcome, end.reason, text)
 		}
 	}
@@ -87,17 +87,17 @@
 		t.Errorf("metrics: %v", err)
 	}
 	if !c.cutSeen() {
-		t.Error("no stream was cut: the test shows nothing")
+		t.Error("no stream was cut, so the test proves nothing")
 	}
 }
 
-// cutSeen reports whether the time line tells of an attempt that broke off.
+// cutSeen reports whether the time line lists an attempt whose answer was cut.
 func (c *cluster) cutSeen() bool {
 	_, raw, err := do(http.MethodGet, c.routers[0]+"/api/v1/timeline?kind=request", "operator", nil, nil)
 	return err == nil && bytes.Contains(raw, []byte("end=cut"))
 }
 
-// TestNoRetryStorm lets every upstream fail and checks that retries stay within their budget.
+// TestNoRetryStorm makes every upstream fail and checks that retries stay within their budget.
 func TestNoRetryStorm(t *testing.T) {
 	c := newCluster(t, options{routers: 1, plains: 2})
 	for _, address := range c.plain {
@@ -107,7 +107,7 @@
 	for range calls {
 		resp, raw, err := do(http.MethodGet, c.routers[0]+"/svc/ledger/v1/balance", "small", nil, nil)
 		if err != nil || resp.Header.Get("Retry-After") == "" {
-			t.Fatalf("failed call without advice when to come back: %v %s", err, raw)
+			t.Fatalf("failed call without Retry-After: %v %s", err, raw)
 		}
 	}
 	_, raw, err := do(http.MethodGet, c.routers[0]+"/metrics", "", nil, nil)
@@ -120,8 +120,10 @@
 	}
 }
 
-// TestCutTwice has each upstream break off while it runs a request. It was sent to four upstreams, one after the other: a request that
-// crashes what runs it would have ended a service with one try of its caller.
+// TestCutTwice makes each upstream close the connection while it runs a request, which may then be
+// sent to two upstreams at most. Without this limit it was sent to four upstreams in turn: a
+// request that crashes the upstreams that run it would have taken a service down with one attempt
+// of its caller.
 func TestCutTwice(t *testing.T) {
 	c := newCluster(t, options{routers: 1, plains: 4})
 	for _, address := range c.plain {
@@ -140,11 +142,11 @@
 		sent += calls
 	}
 	if sent != 2 {
-		t.Errorf("it was sent to %d upstreams, want 2", sent)
+		t.Errorf("the request was sent to %d upstreams, want 2", sent)
 	}
 }
 
-// TestCallerGone checks that a caller that goes away frees its place at the engine.
+// TestCallerGone checks that a caller that disconnects frees its slot at the engine.
 func TestCallerGone(t *testing.T) {
 	c := newCluster(t, options{routers: 1, groups: 1, ranks: 2})
 	running := func() int {
@@ -171,5 +173,5 @@
 	}()
 	c.await("the request runs", 10*time.Second, func() bool { return running() == 1 })
 	cancel()
-	c.await("the engine has let it go", 5*time.Second, func() bool { return running() == 0 })
+	c.await("the engine has dropped the request", 5*time.Second, func() bool { return running() == 0 })
 }
--- a/tests/integration/config_test.go
+++ b/tests/integration/config_test.go
@@ -20,8 +20,8 @@
 	"github.com/rs/zerolog"
 )
 
-// inForce is the time the users allow a revision to be in force everywhere.
-const inForce = 10 * time.Second
+// propagationTimeout is the time within which an accepted revision must be in force everywhere.
+const propagationTimeout = 10 * time.Second
 
 // variant returns the cluster's intent with another share for the small account.
 func (c *cluster) variant(weight float64) intent.Intent {
@@ -33,12 +33,12 @@
 	return in
 }
 
-// everywhere waits until every process has a revision in force, and returns how long that took.
-func (c *cluster) everywhere(rev intent.Revision) time.Duration {
+// awaitRevision waits until every process has a revision in force, and returns how long that took.
+func (c *cluster) awaitRevision(rev intent.Revision) time.Duration {
 	c.t.Helper()
 	began := time.Now()
 	for r := range c.routers {
-		c.await(fmt.Sprintf("revision %d everywhere as router %d sees it", rev, r), inForce, func() bool {
+		c.await(fmt.Sprintf("revision %d everywhere as router %d reports it", rev, r), propagationTimeout, func() bool {
 			s, err := c.status(r)
 			return err == nil && s.Everywhere(rev) && len(s.Processes) == len(c.vms)
 		})
@@ -55,9 +55,10 @@
 	return s
 }
 
-// watch polls all routers and reports any that tells a lower revision than it told before, in this
-// life or an earlier one. A router that does not know the configuration must not answer.
-func (c *cluster) watch() (stop func()) {
+// watchRevisions polls all routers and fails the test if one reports a lower revision than it
+// reported before, also across restarts. A router that does not know the configuration must not
+// answer; such polls are skipped.
+func (c *cluster) watchRevisions() (stop func()) {
 	done := make(chan struct{})
 	var w sync.WaitGroup
 	for r := range c.routers {
@@ -96,8 +97,8 @@
 	return a.Outcome.Revision
 }
 
-// TestConfiguration breaks one thing at a time around confirmations. What was accepted must be in
-// force everywhere within ten seconds and never revert.
+// TestConfiguration injects one fault at a time around confirmations. An accepted revision must be
+// in force everywhere within ten seconds and must never be reverted.
 func TestConfiguration(t *testing.T) {
 	faults := map[string]func(c *cluster){
 		"operators race": func(c *cluster) {
@@ -122,7 +123,7 @@
 			for r, v := range verdicts {
 				if v == configlog.VerdictAccepted {
 					won++
-					c.everywhere(2)
+					c.awaitRevision(2)
 					if got, want := c.state(0).Digest, plans[r].Intent.Digest(); got != want {
 						c.t.Errorf("in force %s, accepted %s", got, want)
 					}
@@ -134,7 +135,7 @@
 		},
 		"append answer lost": func(c *cluster) {
 			c.fault(platformstandin.Fault{LoseAnswers: true})
-			c.everywhere(c.accept(0, "lost", c.variant(3)))
+			c.awaitRevision(c.accept(0, "lost", c.variant(3)))
 		},
 		"confirmation repeated at another router": func(c *cluster) {
 			p, err := c.plan(0, c.variant(3))
@@ -146,7 +147,7 @@
 			if first.Outcome != second.Outcome || first.Outcome.Verdict != configlog.VerdictAccepted {
 				c.t.Errorf("outcomes %+v and %+v", first.Outcome, second.Outcome)
 			}
-			c.everywhere(2)
+			c.awaitRevision(2)
 		},
 		"log out at the confirmation": func(c *cluster) {
 			p, err := c.plan(0, c.variant(3))
@@ -159,11 +160,11 @@
 				c.t.Error("accepted without the log")
 			}
 			c.fault(platformstandin.Fault{})
-			c.everywhere(c.accept(1, "after", c.variant(4)))
+			c.awaitRevision(c.accept(1, "after", c.variant(4)))
 		},
 		"routers replaced one by one": func(c *cluster) {
 			rev := c.accept(0, "before", c.variant(3))
-			c.everywhere(rev)
+			c.awaitRevision(rev)
 			for r := range c.routers {
 				p := c.procs[fmt.Sprint("router-", r)]
 				p.kill()
@@ -176,19 +177,19 @@
 		},
 		"fresh start in an outage": func(c *cluster) {
 			rev := c.accept(0, "before", c.variant(3))
-			c.everywhere(rev)
+			c.awaitRevision(rev)
 			c.fault(platformstandin.Fault{Down: true})
 			c.procs["router-0"].kill()
 			c.procs["ledger-0"].kill()
 			c.procs["router-0"].start()
 			c.procs["ledger-0"].start()
-			c.everywhere(rev)
-			c.await("router-0 serves", inForce, func() bool {
+			c.awaitRevision(rev)
+			c.await("router-0 serves", propagationTimeout, func() bool {
 				resp, _, err := do("GET", c.routers[0]+"/readyz", "", nil, nil)
 				return err == nil && resp.StatusCode == http.StatusOK
 			})
 			c.fault(platformstandin.Fault{})
-			c.everywhere(c.accept(0, "after", c.variant(4)))
+			c.awaitRevision(c.accept(0, "after", c.variant(4)))
 		},
 		"retention runs out": func(c *cluster) {
 			rev := c.accept(0, "before", c.variant(3))
@@ -200,7 +201,7 @@
 				p.start()
 				c.awaitReady(rev)
 			}
-			c.everywhere(c.accept(1, "after", c.variant(4)))
+			c.awaitRevision(c.accept(1, "after", c.variant(4)))
 		},
 	}
 	for name, fault := range faults {
@@ -210,7 +211,7 @@
 				routers: 3, plains: 2, platformArgs: []string{"--retention", testRetention.String()},
 				router: func(s *setting.Router) { s.Platform.Retention = testRetention },
 			})
-			stop := c.watch()
+			stop := c.watchRevisions()
 			fault(c)
 			stop()
 			if first := c.state(0); first.Digest != c.state(1).Digest || first.Digest != c.state(2).Digest {
@@ -223,7 +224,8 @@
 // testRetention is the log's retention in these tests.
 const testRetention = 6 * time.Second
 
-// TestRouterCutFromLog checks that a router that cannot reach the log follows its peers.
+// TestRouterCutFromLog checks that a router that cannot reach the log learns the configuration from
+// its peers.
 func TestRouterCutFromLog(t *testing.T) {
 	var c *cluster
 	var proxy *toxiproxy.Proxy
@@ -240,6 +242,6 @@
 		s.Platform.Address = proxy.Listen
 	}})
 	proxy.Stop()
-	took := c.everywhere(c.accept(0, "cut", c.variant(3)))
+	took := c.awaitRevision(c.accept(0, "cut", c.variant(3)))
 	t.Logf("in force everywhere after %s", took.Round(time.Millisecond))
 }
--- a/tests/integration/control_test.go
+++ b/tests/integration/control_test.go
@@ -16,14 +16,14 @@
 	"fawnwinch.org/fawnwinch/modules/setting"
 )
 
-// cost is what a process has used so far.
+// cost holds the resources that a process has used so far.
 type cost struct {
 	cpu        float64 // seconds
 	rss        float64 // MB
-	sent, recv float64 // bytes of control
+	sent, recv float64 // bytes of control traffic
 }
 
-// ticksPerSecond is the kernel's unit of CPU time.
+// ticksPerSecond is the unit of CPU time in /proc/PID/stat.
 const ticksPerSecond = 100
 
 func (p *process) cost(metricsURL string) cost {
@@ -58,16 +58,17 @@
 	return 0
 }
 
-// controlTime is how long a cluster is watched.
-const controlTime = 10 * time.Second
+// observationTime is the time over which the cost of a cluster is measured.
+const observationTime = 10 * time.Second
 
-// BenchmarkControl reports what control costs each role without load, by the number of routers and agents.
+// BenchmarkControl reports the CPU time, memory and control traffic of each role without load, by
+// the number of routers and agents.
 func BenchmarkControl(b *testing.B) {
-	today, target := setting.DefaultHeartbeat, 3*setting.DefaultHeartbeat
+	current, target := setting.DefaultHeartbeat, 3*setting.DefaultHeartbeat
 	for _, size := range []struct {
 		routers, agents int
 		heartbeat       time.Duration
-	}{{2, 8, today}, {2, 16, today}, {2, 32, today}, {4, 16, today}, {7, 16, today}, {7, 32, today}, {7, 64, today}, {7, 16, target}, {7, 64, target}} {
+	}{{2, 8, current}, {2, 16, current}, {2, 32, current}, {4, 16, current}, {7, 16, current}, {7, 32, current}, {7, 64, current}, {7, 16, target}, {7, 64, target}} {
 		b.Run(fmt.Sprintf("%drouters-%dagents-%s", size.routers, size.agents, size.heartbeat), func(b *testing.B) {
 			urls := map[string]string{}
 			c := newCluster(b, options{
@@ -87,7 +88,7 @@
 					before[name] = c.procs[name].cost(url)
 				}
 				began := time.Now()
-				c.await("time", 2*controlTime, func() bool { return time.Since(began) >= controlTime })
+				c.await("time", 2*observationTime, func() bool { return time.Since(began) >= observationTime })
 				for name, url := range urls {
 					after[name] = c.procs[name].cost(url)
 				}
@@ -98,7 +99,7 @@
 	}
 }
 
-// report reports the means over the processes of a role.
+// report reports the means of the costs over the processes of a role.
 func report(b *testing.B, role string, seconds float64, before, after map[string]cost) {
 	var n, cpu, rss, sent, recv float64
 	for name, a := range after {
--- a/tests/integration/cost_test.go
+++ b/tests/integration/cost_test.go
@@ -15,7 +15,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// costCalls bounds one measurement.
+// costCalls is the number of calls in one measurement.
 const costCalls = 2000
 
 // measure calls a function from several goroutines and returns the delays in microseconds.
--- a/tests/integration/harness_test.go
+++ b/tests/integration/harness_test.go
@@ -51,7 +51,7 @@
 	binary = filepath.Join(dir, "fawnwinch")
 	args := []string{"build", "-race", "-o", binary, "../.."}
 	if os.Getenv("FAWNWINCH_BENCH") != "" {
-		// Measurements want the program as it ships.
+		// Benchmarks measure the program as it ships, without the race detector.
 		args = slices.Delete(args, 1, 2)
 	}
 	build := exec.Command("go", args...)
@@ -98,7 +98,7 @@
 	<-p.done
 }
 
-// term asks for a planned stop and waits for its end.
+// term sends SIGTERM and waits until the process has ended.
 func (p *process) term(limit time.Duration) {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
@@ -109,7 +109,7 @@
 	}
 }
 
-// cluster is a whole deployment on loopback addresses of its own.
+// cluster is a complete deployment on its own loopback address.
 type cluster struct {
 	t        testing.TB
 	dir      string
@@ -138,7 +138,7 @@
 
 var clusters atomic.Int32
 
-// firstPort is below the ports that connections going out are given.
+// firstPort is below the range of ephemeral ports, which outgoing connections use.
 const firstPort = 20000
 
 // loopback returns an address that no other test uses.
@@ -200,7 +200,7 @@
 	return path
 }
 
-func sha(s string) string {
+func sha256Hex(s string) string {
 	sum := sha256.Sum256([]byte(s))
 	return hex.EncodeToString(sum[:])
 }
@@ -212,9 +212,9 @@
 		s.Process = setting.Process{ID: fmt.Sprintf("router-%d", i), DataCentre: "a", RPC: c.address(), HTTP: c.address(), LogLevel: "debug", Heartbeat: setting.DefaultHeartbeat}
 		s.Platform.Address = c.platform
 		s.AddressTTL = 300 * time.Millisecond
-		s.Credentials = []setting.Credential{{Account: "operator", TokenSHA256: sha("operator"), Operator: true}}
+		s.Credentials = []setting.Credential{{Account: "operator", TokenSHA256: sha256Hex("operator"), Operator: true}}
 		for _, a := range accounts {
-			s.Credentials = append(s.Credentials, setting.Credential{Account: a.Account, TokenSHA256: sha(string(a.Account))})
+			s.Credentials = append(s.Credentials, setting.Credential{Account: a.Account, TokenSHA256: sha256Hex(string(a.Account))})
 		}
 		c.seeds = append(c.seeds, s.Process.RPC)
 		c.routers = append(c.routers, s.Process.HTTP)
@@ -322,7 +322,7 @@
 	return false
 }
 
-// do sends a request and returns its status and body; it returns an error if the answer is not whole.
+// do sends a request and returns the response and its body, or an error if the body is incomplete.
 func do(method, url, token string, header map[string]string, body []byte) (*http.Response, []byte, error) {
 	return doWith(http.DefaultClient, method, url, token, header, body)
 }
@@ -421,7 +421,8 @@
 	return s, err
 }
 
-// awaitReady waits until every router sees every process ready at a revision, and all slices owned.
+// awaitReady waits until every router lists every process as ready at a revision and all slices as
+// owned.
 func (c *cluster) awaitReady(rev intent.Revision) {
 	c.t.Helper()
 	for r := range c.routers {
@@ -439,7 +440,7 @@
 	}
 }
 
-// effects sums the effects of all plain stand-ins; dead ones count with what they last told.
+// effects sums the effects of all plain stand-ins, each of which must answer.
 func (c *cluster) effects() map[string]int {
 	sum := map[string]int{}
 	for _, address := range c.plain {
@@ -454,8 +455,8 @@
 	return sum
 }
 
-// told is what a caller was told.
-type told struct {
+// callResult is the result of a call as its caller sees it.
+type callResult struct {
 	outcome request.Outcome
 	reason  string
 	status  int
@@ -463,15 +464,15 @@
 	took    time.Duration
 }
 
-func (c *cluster) hold(router int, who, key string, timeout time.Duration) told {
+func (c *cluster) hold(router int, who, key string, timeout time.Duration) callResult {
 	began := time.Now()
 	resp, raw, err := do(http.MethodPost, c.routers[router]+"/svc/ledger/v1/holds", who, map[string]string{
 		request.HeaderKey: key, routers.HeaderTimeout: fmt.Sprint(timeout.Milliseconds()),
 	}, []byte(`{"yen":1}`))
 	if err != nil {
-		return told{outcome: request.OutcomeUnknown, reason: err.Error(), took: time.Since(began)}
+		return callResult{outcome: request.OutcomeUnknown, reason: err.Error(), took: time.Since(began)}
 	}
-	return told{
+	return callResult{
 		outcome: request.Outcome(resp.Header.Get(request.HeaderOutcome)), reason: resp.Header.Get(request.HeaderReason),
 		status: resp.StatusCode, body: string(raw), took: time.Since(began),
 	}
@@ -484,29 +485,30 @@
 	return raw
 }
 
-// chat returns the text of a whole answer, or what the caller was told instead.
-func (c *cluster) chat(router int, who, prompt string, tokens int, stream bool) (string, told) {
+// chat returns the text of an answer and the result of the call. An incomplete answer has the
+// outcome unknown.
+func (c *cluster) chat(router int, who, prompt string, tokens int, stream bool) (string, callResult) {
 	began := time.Now()
 	resp, raw, err := do(http.MethodPost, c.routers[router]+"/v1/chat/completions", who, nil, chatBody(prompt, tokens, stream))
 	if err != nil {
-		return "", told{outcome: request.OutcomeUnknown, reason: err.Error(), took: time.Since(began)}
+		return "", callResult{outcome: request.OutcomeUnknown, reason: err.Error(), took: time.Since(began)}
 	}
-	end := told{outcome: request.Outcome(resp.Header.Get(request.HeaderOutcome)), reason: resp.Header.Get(request.HeaderReason), status: resp.StatusCode, body: string(raw), took: time.Since(began)}
-	text, whole := chatText(raw, stream)
-	if end.outcome == request.OutcomeAnswered && !whole {
+	end := callResult{outcome: request.Outcome(resp.Header.Get(request.HeaderOutcome)), reason: resp.Header.Get(request.HeaderReason), status: resp.StatusCode, body: string(raw), took: time.Since(began)}
+	text, complete := chatText(raw, stream)
+	if end.outcome == request.OutcomeAnswered && !complete {
 		end.outcome = request.OutcomeUnknown
 	}
 	return text, end
 }
 
 func chatText(raw []byte, stream bool) (string, bool) {
-	type part struct {
+	type chunk struct {
 		Choices []struct {
 			Message, Delta struct{ Content string }
 		}
 	}
 	if !stream {
-		var p part
+		var p chunk
 		if json.Unmarshal(raw, &p) != nil || len(p.Choices) == 0 {
 			return "", false
 		}
@@ -521,7 +523,7 @@
 		if data == "[DONE]" {
 			return text.String(), true
 		}
-		var p part
+		var p chunk
 		if json.Unmarshal([]byte(data), &p) == nil && len(p.Choices) > 0 {
 			text.WriteString(p.Choices[0].Delta.Content)
 		}
@@ -529,4 +531,6 @@
 	return text.String(), false
 }
 
-func want(prompt string, tokens int) string { return upstreamstandin.Text("user:"+prompt+"\n", tokens) }
+func wantText(prompt string, tokens int) string {
+	return upstreamstandin.Text("user:"+prompt+"\n", tokens)
+}
--- a/tests/integration/leave_test.go
+++ b/tests/integration/leave_test.go
@@ -17,18 +17,19 @@
 	"fawnwinch.org/fawnwinch/services/configlog"
 )
 
-// callers ask which router to use and keep the answer for its time to live, as real ones do.
+// callers request the addresses of the routers and cache the answer for its TTL, as real callers
+// do.
 type callers struct {
-	c     *cluster
-	mu    sync.Mutex
-	whole map[string]int
-	bad   []string
-	stop  chan struct{}
-	done  sync.WaitGroup
+	c        *cluster
+	mu       sync.Mutex
+	complete map[string]int
+	failures []string
+	stop     chan struct{}
+	done     sync.WaitGroup
 }
 
 func (c *cluster) callers(workers int) *callers {
-	w := &callers{c: c, whole: map[string]int{}, stop: make(chan struct{})}
+	w := &callers{c: c, complete: map[string]int{}, stop: make(chan struct{})}
 	for i := range workers {
 		w.done.Go(func() { w.work(i) })
 	}
@@ -73,35 +74,35 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil || resp.Header.Get(request.HeaderOutcome) != string(request.OutcomeAnswered) {
-		w.bad = append(w.bad, fmt.Sprintf("%s at %s: %v %s", kind, router, err, raw))
+		w.failures = append(w.failures, fmt.Sprintf("%s at %s: %v %s", kind, router, err, raw))
 		return
 	}
 	if kind == "chat" {
-		text, whole := chatText(raw, n%4 == 1)
-		if !whole || text != want(fmt.Sprintf("memo %d %d", i, n), 12) {
-			w.bad = append(w.bad, "not whole: "+string(raw))
+		text, complete := chatText(raw, n%4 == 1)
+		if !complete || text != wantText(fmt.Sprintf("memo %d %d", i, n), 12) {
+			w.failures = append(w.failures, "incomplete answer: "+string(raw))
 			return
 		}
 	}
-	w.whole[kind]++
+	w.complete[kind]++
 }
 
-func (w *callers) more(n int) {
+func (w *callers) awaitMore(n int) {
 	w.c.t.Helper()
 	count := func() int {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return w.whole["hold"] + w.whole["chat"]
+		return w.complete["hold"] + w.complete["chat"]
 	}
 	from := count()
 	w.c.await(fmt.Sprintf("%d more answers", n), 60*time.Second, func() bool { return count() >= from+n })
 }
 
-func (w *callers) end() {
+func (w *callers) stopAndCheck() {
 	w.c.t.Helper()
 	close(w.stop)
 	w.done.Wait()
-	for _, b := range w.bad {
+	for _, b := range w.failures {
 		w.c.t.Errorf("cut or refused: %s", b)
 	}
 	for key, n := range w.c.effects() {
@@ -109,10 +110,11 @@
 			w.c.t.Errorf("key %s had %d effects", key, n)
 		}
 	}
-	w.c.t.Logf("answered: %v", w.whole)
+	w.c.t.Logf("answered: %v", w.complete)
 }
 
-// TestPlannedStop stops processes in good order under load. No request may be cut, refused or doubled.
+// TestPlannedStop stops processes with SIGTERM under load. No request may be cut, refused or run
+// twice.
 func TestPlannedStop(t *testing.T) {
 	cases := map[string]func(c *cluster, w *callers){
 		"router": func(c *cluster, _ *callers) {
@@ -124,7 +126,7 @@
 				p.term(20 * time.Second)
 				p.start()
 				c.awaitReady(1)
-				w.more(10)
+				w.awaitMore(10)
 			}
 		},
 		"agent of a plain service": func(c *cluster, _ *callers) {
@@ -133,7 +135,7 @@
 		"agent of a rank": func(c *cluster, _ *callers) {
 			c.procs["group-0-1"].term(20 * time.Second)
 		},
-		"everything that has a twin": func(c *cluster, _ *callers) {
+		"one process of each role": func(c *cluster, _ *callers) {
 			for _, name := range []string{"router-1", "ledger-1", "group-0-0"} {
 				c.procs[name].signal(syscall.SIGTERM)
 			}
@@ -147,16 +149,16 @@
 			t.Parallel()
 			c := newCluster(t, options{routers: 2, groups: 1, ranks: 3, plains: 3})
 			w := c.callers(4)
-			w.more(30)
+			w.awaitMore(30)
 			stop(c, w)
-			w.more(60)
-			w.end()
+			w.awaitMore(60)
+			w.stopAndCheck()
 		})
 	}
 }
 
-// TestLeaving announces the end of an upstream in each of the three ways. It gets no new work two
-// seconds after the announcement is out, and nothing is cut.
+// TestLeaving announces in each supported way that an upstream is leaving. It must get no new work
+// two seconds after the announcement, and no request may be cut.
 func TestLeaving(t *testing.T) {
 	const id = upstream.ID("ledger-0")
 	cases := map[string]func(c *cluster){
@@ -193,7 +195,7 @@
 			t.Parallel()
 			c := newCluster(t, options{routers: 2, plains: 3})
 			w := c.callers(4)
-			w.more(30)
+			w.awaitMore(30)
 			announce(c)
 			deadline := time.Now().Add(2 * time.Second)
 			c.await("two seconds", 5*time.Second, func() bool { return time.Now().After(deadline) })
@@ -205,16 +207,16 @@
 				return n
 			}
 			before := calls()
-			w.more(60)
+			w.awaitMore(60)
 			if after := calls(); after != before {
-				t.Errorf("%d calls came to a leaving upstream", after-before)
+				t.Errorf("%d calls were sent to a leaving upstream", after-before)
 			}
 			if name == "configuration" {
-				// An operator changes the mind.
+				// The operator reopens the upstream.
 				c.confirm(1, "open", c.intent)
 				c.await("the upstream works again", 15*time.Second, func() bool { return calls() > before })
 			}
-			w.end()
+			w.stopAndCheck()
 		})
 	}
 }
--- a/tests/integration/once_test.go
+++ b/tests/integration/once_test.go
@@ -31,7 +31,7 @@
 	proxies map[upstream.ID]*toxiproxy.Proxy
 }
 
-func (l *links) wrap(c **cluster, s *setting.Agent) {
+func (l *links) addProxy(c **cluster, s *setting.Agent) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	server := toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
@@ -44,14 +44,14 @@
 	l.proxies[s.Upstream.ID] = p
 }
 
-// cut breaks all connections and refuses new ones; mend lets them through again.
+// cut breaks all connections and refuses new ones; restore accepts connections again.
 func (l *links) cut() {
 	for _, p := range l.proxies {
 		p.Stop()
 	}
 }
 
-func (l *links) mend(t testing.TB) {
+func (l *links) restore(t testing.TB) {
 	for _, p := range l.proxies {
 		if err := p.Start(); err != nil {
 			t.Error(err)
@@ -59,7 +59,7 @@
 	}
 }
 
-// reset makes connections break in the direction of the answers for as long as it is on.
+// reset turns connection resets in the direction of the answers on or off.
 func (l *links) reset(t testing.TB, on bool) {
 	for _, p := range l.proxies {
 		if !on {
@@ -73,14 +73,15 @@
 	}
 }
 
-// holdOp is one attempt of a caller, for the checker.
+// holdOp is one attempt of a caller, or the final count of a key, for the checker.
 type holdOp struct {
 	key   string
 	final bool
 }
 
-// holdModel says what attempts on one key may show: an answered attempt has its effect once, a
-// not-run attempt has none, an unknown one has at most one, and the final count tells the truth.
+// holdModel specifies the results of attempts on one key: an answered attempt has its effect once,
+// a not-run attempt has none, an unknown one has at most one, and the final count equals the number
+// of effects.
 var holdModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -115,21 +116,21 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// workload drives holds with retries at changing routers and keeps the history.
+// workload sends holds with retries at other routers and records the history.
 type workload struct {
-	c       *cluster
-	mu      sync.Mutex
-	history []porcupine.Operation
-	ended   map[request.Outcome]int
-	slowest time.Duration
-	stop    chan struct{}
-	done    sync.WaitGroup
+	c        *cluster
+	mu       sync.Mutex
+	history  []porcupine.Operation
+	outcomes map[request.Outcome]int
+	slowest  time.Duration
+	stop     chan struct{}
+	done     sync.WaitGroup
 }
 
-const holdTries = 4
+const holdAttempts = 4
 
 func (c *cluster) holds(workers int) *workload {
-	w := &workload{c: c, ended: map[request.Outcome]int{}, stop: make(chan struct{})}
+	w := &workload{c: c, outcomes: map[request.Outcome]int{}, stop: make(chan struct{})}
 	began := time.Now()
 	for i := range workers {
 		w.done.Go(func() {
@@ -138,7 +139,7 @@
 				case <-w.stop:
 					return
 				default:
-					w.one(began, i, fmt.Sprintf("key-%d-%d", i, n))
+					w.runHold(began, i, fmt.Sprintf("key-%d-%d", i, n))
 				}
 			}
 		})
@@ -146,11 +147,11 @@
 	return w
 }
 
-func (w *workload) one(began time.Time, worker int, key string) {
+func (w *workload) runHold(began time.Time, worker int, key string) {
 	who := string(accounts[worker%len(accounts)].Account)
-	var got told
+	var got callResult
 	start := time.Now()
-	for try := range holdTries {
+	for try := range holdAttempts {
 		call := time.Since(began)
 		got = w.c.hold((worker+try)%len(w.c.routers), who, key, 3*time.Second)
 		w.mu.Lock()
@@ -165,11 +166,11 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ended[got.outcome]++
+	w.outcomes[got.outcome]++
 	w.slowest = max(w.slowest, time.Since(start))
 }
 
-// check ends the load and compares the history with the effects.
+// check stops the load and compares the history with the effects.
 func (w *workload) check(t *testing.T) {
 	t.Helper()
 	close(w.stop)
@@ -193,71 +194,71 @@
 			}
 		}
 	}
-	t.Logf("%d keys: %v, slowest %s", len(keys), w.ended, w.slowest.Round(time.Millisecond))
-	if w.ended[request.OutcomeAnswered] == 0 {
+	t.Logf("%d keys: %v, slowest %s", len(keys), w.outcomes, w.slowest.Round(time.Millisecond))
+	if w.outcomes[request.OutcomeAnswered] == 0 {
 		t.Error("nothing was answered")
 	}
 }
 
-// answered waits until n more holds have been answered.
-func (w *workload) answered(n int) {
+// awaitAnswered waits until n more holds have been answered.
+func (w *workload) awaitAnswered(n int) {
 	w.c.t.Helper()
-	count := func() int { w.mu.Lock(); defer w.mu.Unlock(); return w.ended[request.OutcomeAnswered] }
+	count := func() int { w.mu.Lock(); defer w.mu.Unlock(); return w.outcomes[request.OutcomeAnswered] }
 	from := count()
 	w.c.await(fmt.Sprintf("%d more holds answered", n), 30*time.Second, func() bool { return count() >= from+n })
 }
 
-// TestOnceUnderFaults breaks one thing at a time under a load of holds.
+// TestOnceUnderFaults injects one fault at a time under a load of holds.
 func TestOnceUnderFaults(t *testing.T) {
 	faults := map[string]func(c *cluster, l *links, w *workload){
 		"agent killed and replaced": func(c *cluster, _ *links, w *workload) {
 			c.procs["ledger-0"].kill()
-			w.answered(50)
+			w.awaitAnswered(50)
 			c.procs["ledger-0"].start()
 		},
 		"agent frozen and woken": func(c *cluster, _ *links, w *workload) {
 			c.procs["ledger-1"].signal(syscall.SIGSTOP)
-			w.answered(60)
+			w.awaitAnswered(60)
 			c.procs["ledger-1"].signal(syscall.SIGCONT)
 		},
 		"router killed and replaced": func(c *cluster, _ *links, w *workload) {
 			c.procs["router-0"].kill()
-			w.answered(30)
+			w.awaitAnswered(30)
 			c.procs["router-0"].start()
 		},
 		"router frozen and woken": func(c *cluster, _ *links, w *workload) {
 			c.procs["router-1"].signal(syscall.SIGSTOP)
-			w.answered(30)
+			w.awaitAnswered(30)
 			c.procs["router-1"].signal(syscall.SIGCONT)
 		},
 		"upstream loses answers": func(c *cluster, _ *links, w *workload) {
 			c.put(c.plain["ledger-0"]+"/control/fault", upstreamstandin.PlainFault{LoseAnswers: true})
-			w.answered(50)
+			w.awaitAnswered(50)
 			c.put(c.plain["ledger-0"]+"/control/fault", upstreamstandin.PlainFault{})
 		},
 		"upstream frozen and woken": func(c *cluster, _ *links, w *workload) {
 			c.procs["standin-ledger-2"].signal(syscall.SIGSTOP)
-			w.answered(20)
+			w.awaitAnswered(20)
 			c.procs["standin-ledger-2"].signal(syscall.SIGCONT)
 		},
 		"links cut": func(c *cluster, l *links, w *workload) {
 			l.cut()
-			c.await("callers see the cut", 20*time.Second, func() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.ended[request.OutcomeNotRun] > 0 })
-			l.mend(c.t)
+			c.await("callers see the cut", 20*time.Second, func() bool { w.mu.Lock(); defer w.mu.Unlock(); return w.outcomes[request.OutcomeNotRun] > 0 })
+			l.restore(c.t)
 		},
 		"links reset after sending": func(c *cluster, l *links, w *workload) {
 			l.reset(c.t, true)
-			w.answered(30)
+			w.awaitAnswered(30)
 			l.reset(c.t, false)
 		},
 		"log answers lost": func(c *cluster, _ *links, w *workload) {
 			c.fault(platformstandin.Fault{LoseAnswers: true})
-			w.answered(50)
+			w.awaitAnswered(50)
 			c.fault(platformstandin.Fault{})
 		},
 		"log slow": func(c *cluster, _ *links, w *workload) {
 			c.fault(platformstandin.Fault{DelayMillis: 300})
-			w.answered(20)
+			w.awaitAnswered(20)
 			c.fault(platformstandin.Fault{})
 		},
 		"everything at once": func(c *cluster, l *links, w *workload) {
@@ -266,7 +267,7 @@
 			c.procs["ledger-0"].kill()
 			c.procs["ledger-1"].signal(syscall.SIGSTOP)
 			c.procs["router-0"].kill()
-			w.answered(10)
+			w.awaitAnswered(10)
 			c.procs["ledger-0"].start()
 			c.procs["router-0"].start()
 			c.procs["ledger-1"].signal(syscall.SIGCONT)
@@ -279,18 +280,19 @@
 			t.Parallel()
 			l := &links{proxies: map[upstream.ID]*toxiproxy.Proxy{}}
 			var c *cluster
-			c = newClusterInto(t, &c, options{routers: 2, plains: 3, agent: func(s *setting.Agent) { l.wrap(&c, s) }})
+			c = newClusterInto(t, &c, options{routers: 2, plains: 3, agent: func(s *setting.Agent) { l.addProxy(&c, s) }})
 			w := c.holds(4)
-			w.answered(20)
+			w.awaitAnswered(20)
 			fault(c, l, w)
-			w.answered(40)
+			w.awaitAnswered(40)
 			w.check(t)
 		})
 	}
 }
 
-// TestNaiveRetryDoubles shows what the promise is worth: the same lost answer on a route that the
-// intent does not list doubles the effect, because the router repeats it.
+// TestNaiveRetryDoubles compares a route that the intent lists as non-repeatable with one that it
+// does not list. A lost answer on the unlisted route doubles the effect, because the router retries
+// the request.
 func TestNaiveRetryDoubles(t *testing.T) {
 	c := newCluster(t, options{routers: 1, plains: 2})
 	for _, address := range c.plain {
@@ -307,6 +309,6 @@
 		t.Errorf("listed route: outcome %s, %d effects; want unknown and 1", got.outcome, e["small/"+careful])
 	}
 	if e["small/"+naive] < 2 {
-		t.Errorf("unlisted route: %d effects; the comparison shows nothing", e["small/"+naive])
+		t.Errorf("unlisted route: %d effects, want 2 at least", e["small/"+naive])
 	}
 }
--- a/tests/integration/operator_test.go
+++ b/tests/integration/operator_test.go
@@ -26,7 +26,8 @@
 	return o.String(), e.String(), cmd.ProcessState.ExitCode()
 }
 
-// TestOperator follows an operator from a plan to a revision in force, and one request through all processes.
+// TestOperator follows an operator from a plan to a revision in force, and one request through all
+// processes.
 func TestOperator(t *testing.T) {
 	c := newCluster(t, options{routers: 2, groups: 1, ranks: 2, plains: 2})
 	write := func(name string, weight float64) string {
@@ -43,7 +44,7 @@
 		name string
 		args []string
 		code int
-		say  string
+		want string
 	}{
 		{"plan of an unchanged file", []string{"plan", "-f", same}, 0, "no changes"},
 		{"plan of a changed file", []string{"plan", "-f", other}, 2, "~ services.ledger.shares.small: 1 -> 5"},
@@ -59,8 +60,8 @@
 	}
 	for _, s := range steps {
 		out, errs, code := c.command(s.args...)
-		if code != s.code || !strings.Contains(out+errs, s.say) {
-			t.Errorf("%s: exit code %d, want %d and %q:\n%s%s", s.name, code, s.code, s.say, out, errs)
+		if code != s.code || !strings.Contains(out+errs, s.want) {
+			t.Errorf("%s: exit code %d, want %d and %q:\n%s%s", s.name, code, s.code, s.want, out, errs)
 		}
 	}
 	c.followRequest()
--- a/tests/integration/outage_test.go
+++ b/tests/integration/outage_test.go
@@ -15,26 +15,26 @@
 
 func shortOutage(s *setting.Agent) { s.Once.OutageAfter = 1500 * time.Millisecond }
 
-// TestOutage takes the platform away: holds go on at their living owners, an owner that dies in the
-// outage leaves its slices refused until the log is back, and nothing runs twice after it.
+// TestOutage makes the platform unavailable. Holds go on at owners that are alive, the slices of an
+// owner that dies meanwhile are refused until the log is back, and no hold runs twice afterwards.
 func TestOutage(t *testing.T) {
 	faults := map[string]func(c *cluster, w *workload){
 		"outage alone": func(*cluster, *workload) {},
 		"owner dies in the outage": func(c *cluster, w *workload) {
 			c.procs["ledger-0"].kill()
-			w.answered(40)
+			w.awaitAnswered(40)
 			c.procs["ledger-0"].start()
 		},
 		"owner sleeps through the end of the outage": func(c *cluster, w *workload) {
 			c.procs["ledger-1"].signal(syscall.SIGSTOP)
-			w.answered(40)
+			w.awaitAnswered(40)
 			c.fault(platformstandin.Fault{})
-			w.answered(40)
+			w.awaitAnswered(40)
 			c.procs["ledger-1"].signal(syscall.SIGCONT)
 		},
 		"router dies in the outage": func(c *cluster, w *workload) {
 			c.procs["router-0"].kill()
-			w.answered(40)
+			w.awaitAnswered(40)
 			c.procs["router-0"].start()
 		},
 	}
@@ -43,22 +43,23 @@
 			t.Parallel()
 			c := newCluster(t, options{routers: 2, plains: 3, agent: shortOutage})
 			w := c.holds(4)
-			w.answered(20)
+			w.awaitAnswered(20)
 			c.fault(platformstandin.Fault{Down: true})
-			w.answered(100)
+			w.awaitAnswered(100)
 			fault(c, w)
 			c.fault(platformstandin.Fault{})
-			w.answered(40)
+			w.awaitAnswered(40)
 			w.check(t)
 		})
 	}
 }
 
-// TestOutageRefuses checks that an owner that may not run without its journal says so at once.
+// TestOutageRefuses checks that an owner that may not run without its journal refuses holds at
+// once.
 func TestOutageRefuses(t *testing.T) {
 	c := newCluster(t, options{routers: 1, plains: 1, agent: func(s *setting.Agent) { s.Once.OutageAfter = 0 }})
 	c.fault(platformstandin.Fault{Down: true})
-	var got told
+	var got callResult
 	c.await("refusal for lack of a journal", 20*time.Second, func() bool {
 		got = c.hold(0, "small", "k", 20*time.Second)
 		return got.reason == "journal-unreachable"
@@ -76,8 +77,8 @@
 // longRetention is the log's retention, and the keys' lifetime, in the test of a long outage.
 const longRetention = 12 * time.Second
 
-// TestLongOutage keeps the platform away for longer than the log keeps its records, lets an owner and
-// a router die meanwhile, and an owner sleep from before the outage to after it.
+// TestLongOutage makes the platform unavailable for longer than the log's retention. Meanwhile an
+// owner and a router are killed, and another owner is frozen from before the outage until after it.
 func TestLongOutage(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, options{
@@ -88,26 +89,26 @@
 		},
 	})
 	rev := c.accept(0, "before", c.variant(3))
-	c.everywhere(rev)
+	c.awaitRevision(rev)
 	w := c.holds(4)
-	w.answered(20)
-	stop := c.watch()
+	w.awaitAnswered(20)
+	stop := c.watchRevisions()
 	c.procs["ledger-3"].signal(syscall.SIGSTOP)
 	c.fault(platformstandin.Fault{Down: true})
 	began := time.Now()
-	w.answered(60)
+	w.awaitAnswered(60)
 	c.procs["ledger-0"].kill()
 	c.procs["router-0"].kill()
-	w.answered(60)
+	w.awaitAnswered(60)
 	c.procs["router-0"].start()
 	c.await("outage over", 3*longRetention, func() bool { return time.Since(began) > longRetention*3/2 })
-	w.answered(20)
+	w.awaitAnswered(20)
 	c.fault(platformstandin.Fault{})
 	c.procs["ledger-0"].start()
 	c.procs["ledger-3"].signal(syscall.SIGCONT)
-	w.answered(100)
-	c.everywhere(rev)
-	c.everywhere(c.accept(1, "after", c.variant(4)))
+	w.awaitAnswered(100)
+	c.awaitRevision(rev)
+	c.awaitRevision(c.accept(1, "after", c.variant(4)))
 	stop()
 	w.check(t)
 }
--- a/tests/integration/path_test.go
+++ b/tests/integration/path_test.go
@@ -20,7 +20,7 @@
 		for _, stream := range []bool{false, true} {
 			prompt := fmt.Sprintf("memo %d %t", r, stream)
 			text, end := c.chat(r, "large", prompt, 20, stream)
-			if end.outcome != request.OutcomeAnswered || text != want(prompt, 20) {
+			if end.outcome != request.OutcomeAnswered || text != wantText(prompt, 20) {
 				t.Errorf("router %d, stream %t: outcome %s (%s), text %q", r, stream, end.outcome, end.reason, text)
 			}
 		}
@@ -32,11 +32,11 @@
 	first := c.hold(0, "small", "same", 10*time.Second)
 	again := c.hold(1, "small", "same", 10*time.Second)
 	if first.body != again.body || again.outcome != request.OutcomeAnswered {
-		t.Errorf("retry at another router: got %q, want the kept answer %q", again.body, first.body)
+		t.Errorf("retry at another router: got %q, want the stored answer %q", again.body, first.body)
 	}
 	other := c.hold(1, "large", "same", 10*time.Second)
 	if other.body == first.body {
-		t.Errorf("another account read a kept answer: %q", other.body)
+		t.Errorf("another account read a stored answer: %q", other.body)
 	}
 	for key, n := range c.effects() {
 		if n != 1 {
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestBadInput checks that bad input names its field and value and reaches nobody.
+// TestBadInput checks that the answer to bad input names its field and value, and that the request
+// reaches no upstream.
 func TestBadInput(t *testing.T) {
 	c := newCluster(t, options{routers: 1, groups: 1, ranks: 2, plains: 1})
 	cases := map[string]struct {
@@ -57,7 +58,7 @@
 		header              map[string]string
 		body                string
 		status              int
-		say                 string
+		want                string
 	}{
 		"no token":       {"POST", "/v1/chat/completions", "nobody", nil, "{}", http.StatusUnauthorized, "Authorization"},
 		"no operator":    {"GET", "/api/v1/status", "small", nil, "", http.StatusForbidden, "operator"},
@@ -74,8 +75,8 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			resp, raw, err := do(tc.method, c.routers[0]+tc.path, tc.token, tc.header, []byte(tc.body))
-			if err != nil || resp.StatusCode != tc.status || !strings.Contains(string(raw), tc.say) {
-				t.Errorf("got %v %v %s, want %d and %q", err, resp, raw, tc.status, tc.say)
+			if err != nil || resp.StatusCode != tc.status || !strings.Contains(string(raw), tc.want) {
+				t.Errorf("got %v %v %s, want %d and %q", err, resp, raw, tc.status, tc.want)
 			}
 		})
 	}
--- a/tests/integration/platform_ranks_test.go
+++ b/tests/integration/platform_ranks_test.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	rankCount  = 3
-	rankLayers = 2
-	rankExpert = 12
-	rankPlaces = 6
+	rankCount   = 3
+	rankLayers  = 2
+	rankExperts = 12
+	rankSlots   = 6
 )
 
 // ranks is a stand-in group with a real agent beside each rank.
@@ -29,8 +29,8 @@
 	*site
 	group  *rankgroup.Group
 	agents []*process
-	// liked is the expert that is liked most.
-	liked int
+	// popular is the most popular expert.
+	popular int
 }
 
 // newRanks starts a group and its agents.
@@ -46,7 +46,7 @@
 	s.store.Put(operatorStream, "config", fmt.Sprintf(`{"version":1,"routes":[
 	{"name":"draft","host":"h","pathPrefix":"/","kind":"streaming","timeoutMs":8000,"targetLatencyMs":500,"gap_aim_ms":50,"service":"pool","maxAttempts":2}],
 	"services":[{"name":"pool","engine":{"slots":12,"stride":4,"step_ms":4.5,"per_seq_ms":0.9,"read_per_s":60000,"chunk":512,"usual":{"prompt":800},
-	"sets":%d,"experts":%d,"places":%d,"spare":2,"expert_mb":1,"expert_share":0.85,"form_ms":600}}]}`, rankLayers, rankExpert, rankPlaces))
+	"sets":%d,"experts":%d,"places":%d,"spare":2,"expert_mb":1,"expert_share":0.85,"form_ms":600}}]}`, rankLayers, rankExperts, rankSlots))
 	var out []*ranks
 	for _, name := range names {
 		out = append(out, newGroup(s, seed, name))
@@ -66,7 +66,7 @@
 // newGroup starts the agents of a group.
 func newGroup(s *site, seed uint64, name string) *ranks {
 	r := &ranks{site: s, group: rankgroup.New(rankgroup.Options{
-		Name: name, Ranks: rankCount, Layers: rankLayers, Experts: rankExpert, PassTime: 15 * time.Millisecond, LoadTime: 20 * time.Millisecond,
+		Name: name, Ranks: rankCount, Layers: rankLayers, Experts: rankExperts, PassTime: 15 * time.Millisecond, LoadTime: 20 * time.Millisecond,
 		Seed: seed, ChoicesPerPass: 60, Running: 10,
 	})}
 	for n := range rankCount {
@@ -104,17 +104,17 @@
 	return p
 }
 
-// coordinator returns the agent that began to coordinate last, by its log.
+// coordinator returns the agent that became coordinator last, by its log.
 func (r *ranks) coordinator() *process {
 	var best *process
-	most := 0
+	highest := 0
 	for _, p := range r.agents {
 		raw, _ := os.ReadFile(p.logs) // an agent that has not logged yet does not coordinate
 		for line := range strings.Lines(string(raw)) {
 			var authority int
-			if _, rest, ok := strings.Cut(line, "event=coordinator-begins authority="); ok {
-				if _, err := fmt.Sscan(rest, &authority); err == nil && authority > most {
-					best, most = p, authority
+			if _, value, ok := strings.Cut(line, "event=coordinator-begins authority="); ok {
+				if _, err := fmt.Sscan(value, &authority); err == nil && authority > highest {
+					best, highest = p, authority
 				}
 			}
 		}
@@ -122,36 +122,37 @@
 	return best
 }
 
-// shift lets another expert be liked most. Its replicas are far from those of the one before.
-func (r *ranks) shift() {
-	r.liked = (r.liked + 5) % rankExpert
-	r.group.Like(r.liked)
+// shiftPopularity makes another expert the most popular. Its replicas are far from those of the one
+// before.
+func (r *ranks) shiftPopularity() {
+	r.popular = (r.popular + 5) % rankExperts
+	r.group.Like(r.popular)
 }
 
-// drift changes what is liked, and waits for maps that follow.
-func (r *ranks) drift(what string, changes int) {
+// awaitMaps shifts popularity and waits for a map that follows, as many times as changes says.
+func (r *ranks) awaitMaps(what string, changes int) {
 	r.t.Helper()
 	for range changes {
 		before := r.group.Seen().Changes
-		r.shift()
+		r.shiftPopularity()
 		eventually(r.t, what, func() bool { return r.group.Seen().Changes > before })
 	}
 }
 
-// TestRanks takes real agents beside the ranks of a stand-in group through lost and late orders, and through
-// coordinators that are killed and frozen, also while they hold the group: maps follow what is liked,
-// and no pass begins with two of them.
+// TestRanks runs real agents beside the ranks of a stand-in group with lost and late orders, and
+// with coordinators that are killed and frozen, also while they hold the group. Maps must follow
+// popularity, and no pass may begin with two of them.
 func TestRanks(t *testing.T) {
 	kill := func(p *process) { p.kill(); p.start() }
 	cases := map[string]struct {
 		trouble rankgroup.Trouble
-		// strike is done to the coordinator between two shifts.
-		strike func(r *ranks)
+		// fault is injected at the coordinator between two shifts.
+		fault func(r *ranks)
 	}{
-		"calm":                 {},
+		"no faults":            {},
 		"lost and late orders": {trouble: rankgroup.Trouble{Lost: 0.3, Late: 400 * time.Millisecond}},
-		"coordinator killed":   {strike: func(r *ranks) { kill(r.coordinator()) }},
-		"coordinator frozen and woken": {strike: func(r *ranks) {
+		"coordinator killed":   {fault: func(r *ranks) { kill(r.coordinator()) }},
+		"coordinator frozen and woken": {fault: func(r *ranks) {
 			p := r.coordinator()
 			p.signal(syscall.SIGSTOP)
 			eventually(r.t, "another coordinator", func() bool { return r.coordinator() != p })
@@ -159,11 +160,11 @@
 		}},
 		"coordinator killed while it holds the group, with lost orders": {
 			trouble: rankgroup.Trouble{Lost: 0.3, Late: 300 * time.Millisecond},
-			strike: func(r *ranks) {
+			fault: func(r *ranks) {
 				p := r.coordinator()
 				for held := false; !held; {
 					before := r.group.Seen().Changes
-					r.shift()
+					r.shiftPopularity()
 					eventually(r.t, "a hold or a change", func() bool {
 						held = r.group.Holds()
 						return held || r.group.Seen().Changes > before
@@ -177,41 +178,42 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newRanks(t, 7)
-			r.drift("a first map", 1)
+			r.awaitMaps("a first map", 1)
 			r.group.Trouble(c.trouble)
-			r.drift("a map that follows", 2)
-			if c.strike != nil {
-				c.strike(r)
+			r.awaitMaps("a map that follows", 2)
+			if c.fault != nil {
+				c.fault(r)
 			}
 			passes := r.group.Seen().Passes
-			r.drift("a map that follows afterwards", 2)
+			r.awaitMaps("a map that follows afterwards", 2)
 			eventually(t, "passes", func() bool { return r.group.Seen().Passes > passes+50 })
 			t.Logf("%+v", r.group.Seen())
 		})
 	}
 }
 
-// mostStoreCalls is the number of calls of the store that an agent may make in a second once its group is led.
-const mostStoreCalls = 2
+// maxStoreCalls is the number of calls of the store that an agent may make per second once its
+// group is led.
+const maxStoreCalls = 2
 
-// TestTwoGroups runs two groups of one service: each is led, its maps follow what is liked there, and no agent goes on calling the
-// store.
+// TestTwoGroups runs two groups of one service. Each must be led, its maps must follow the
+// popularity of its experts, and its agents must not go on calling the store.
 func TestTwoGroups(t *testing.T) {
 	t.Parallel()
 	groups := newGroups(t, 7, "g", "h")
 	for _, r := range groups {
-		r.drift("a first map", 1)
+		r.awaitMaps("a first map", 1)
 	}
-	begun, before := time.Now(), groups[0].calls.Load()
+	began, before := time.Now(), groups[0].calls.Load()
 	for range 3 {
 		for _, r := range groups {
-			r.drift("a map that follows", 1)
+			r.awaitMaps("a map that follows", 1)
 		}
 	}
 	passes := groups[1].group.Seen().Passes
 	eventually(t, "passes", func() bool { return groups[1].group.Seen().Passes > passes+60 })
-	calls, most := groups[0].calls.Load()-before, mostStoreCalls*2*rankCount*time.Since(begun).Seconds()
-	if float64(calls) > most {
-		t.Errorf("%d calls of the store in %s", calls, time.Since(begun))
+	calls, maxCalls := groups[0].calls.Load()-before, maxStoreCalls*2*rankCount*time.Since(began).Seconds()
+	if float64(calls) > maxCalls {
+		t.Errorf("%d calls of the store in %s", calls, time.Since(began))
 	}
 }
--- a/tests/integration/platform_return_test.go
+++ b/tests/integration/platform_return_test.go
@@ -14,38 +14,38 @@
 	"fawnwinch.org/fawnwinch/standin/metastore"
 )
 
-// nodeStream is what fawnwinch's processes write of themselves.
+// nodeStream is the stream in which fawnwinch's processes register.
 const nodeStream = "keyed.fawnwinch-nodes"
 
-// returns are ways in which a store comes back from a copy.
-var returns = map[string]func(s *site, c metastore.Copy){
-	"in one call's time": func(s *site, c metastore.Copy) { s.store.Return(c) },
+// restores are ways in which the store is restored from an older copy.
+var restores = map[string]func(s *site, c metastore.Copy){
+	"between two calls": func(s *site, c metastore.Copy) { s.store.Return(c) },
 	"after an outage": func(s *site, c metastore.Copy) {
 		s.store.Trouble(metastore.TroubleBusy)
-		s.called(8)
+		s.awaitCalls(8)
 		s.store.Return(c)
 		s.store.Trouble(metastore.TroubleNone)
 	},
 	"twice": func(s *site, c metastore.Copy) {
 		s.store.Return(c)
-		s.called(4)
+		s.awaitCalls(4)
 		s.store.Return(c)
 	},
-	"twice, unseen": func(s *site, c metastore.Copy) {
+	"twice, between two calls": func(s *site, c metastore.Copy) {
 		s.store.Return(c)
 		s.store.Return(c)
 	},
 	"while answers are slow": func(s *site, c metastore.Copy) {
 		s.store.Trouble(metastore.TroubleSlow)
-		s.called(4)
+		s.awaitCalls(4)
 		s.store.Return(c)
-		s.called(8)
+		s.awaitCalls(8)
 		s.store.Trouble(metastore.TroubleNone)
 	},
 	"and writes are late": func(s *site, c metastore.Copy) {
 		s.store.Trouble(metastore.TroubleLate)
 		s.store.Return(c)
-		s.called(12)
+		s.awaitCalls(12)
 		s.store.Trouble(metastore.TroubleNone)
 	},
 	"without its history": func(s *site, c metastore.Copy) {
@@ -55,104 +55,108 @@
 	},
 }
 
-// called waits until the store has had some more calls.
-func (s *site) called(calls int) {
+// awaitCalls waits until the store has received some more calls.
+func (s *site) awaitCalls(calls int) {
 	s.t.Helper()
 	first := s.store.Calls()
 	eventually(s.t, "calls of the store", func() bool { return s.store.Calls() >= first+calls })
 }
 
-// lostConfig is what the operator has written since the copy: the only key that the copy lists is taken away.
-func (s *site) lostConfig(routers map[string]*node) metastore.Copy {
+// copyThenChange returns a copy of the store, and then writes configurations that the copy lacks.
+// They remove the only key that the copy lists.
+func (s *site) copyThenChange(routers map[string]*node) metastore.Copy {
 	s.t.Helper()
 	c := s.store.Copy()
 	s.store.Put(operatorStream, "config", operatorConfig(4, "k", "k4"))
 	s.store.Put(operatorStream, "config", operatorConfig(5, "new"))
 	for name, n := range routers {
-		eventually(s.t, "the new key at "+name, func() bool { status, _, _ := ask(s.t.Context(), s.t, n.front, "/view/x", "new"); return status == 200 })
-		eventually(s.t, "no old key at "+name, func() bool { status, _, _ := ask(s.t.Context(), s.t, n.front, "/view/x", "k"); return status == 401 })
+		eventually(s.t, "the new key at "+name, func() bool { status, _, _ := post(s.t.Context(), s.t, n.front, "/view/x", "new"); return status == 200 })
+		eventually(s.t, "no old key at "+name, func() bool { status, _, _ := post(s.t.Context(), s.t, n.front, "/view/x", "k"); return status == 401 })
 	}
 	return c
 }
 
-// keeps checks that no router goes back to an older configuration while the store is called some times.
-func (s *site) keeps(routers map[string]*node, calls int) {
+// checkKept checks that no router reverts to an older configuration while the store receives a
+// number of calls.
+func (s *site) checkKept(routers map[string]*node, calls int) {
 	s.t.Helper()
 	for first := s.store.Calls(); s.store.Calls() < first+calls; {
 		for name, n := range routers {
-			if status, _, _ := ask(s.t.Context(), s.t, n.front, "/view/x", "new"); status == 401 || status == 404 {
+			if status, _, _ := post(s.t.Context(), s.t, n.front, "/view/x", "new"); status == 401 || status == 404 {
 				s.t.Fatalf("%s refuses a key that an accepted configuration holds: status %d", name, status)
 			}
-			if status, _, _ := ask(s.t.Context(), s.t, n.front, "/view/x", "k"); status == 200 {
-				s.t.Fatalf("%s lets in a key that an accepted configuration has taken away", name)
+			if status, _, _ := post(s.t.Context(), s.t, n.front, "/view/x", "k"); status == 200 {
+				s.t.Fatalf("%s accepts a key that an accepted configuration has removed", name)
 			}
 		}
 	}
 }
 
-// inForce waits until a configuration with one key is in force at all routers.
-func (s *site) inForce(routers map[string]*node, version int, key, before string) {
+// putConfig writes a configuration with one key and waits until it is in force at all routers.
+func (s *site) putConfig(routers map[string]*node, version int, key, before string) {
 	s.t.Helper()
 	s.store.Put(operatorStream, "config", operatorConfig(version, key))
 	for name, n := range routers {
-		eventually(s.t, "key "+key+" at "+name, func() bool { status, _, _ := ask(s.t.Context(), s.t, n.front, "/view/x", key); return status == 200 })
+		eventually(s.t, "key "+key+" at "+name, func() bool { status, _, _ := post(s.t.Context(), s.t, n.front, "/view/x", key); return status == 200 })
 		eventually(s.t, "no key "+before+" at "+name, func() bool {
-			status, _, _ := ask(s.t.Context(), s.t, n.front, "/view/x", before)
+			status, _, _ := post(s.t.Context(), s.t, n.front, "/view/x", before)
 			return status == 401
 		})
 	}
 }
 
-// TestConfigurationAfterReturn has the store come back without the latest configurations: what was accepted stays in force, and what is
-// written next is in force at all routers.
+// TestConfigurationAfterReturn restores the store without the latest configurations. The accepted
+// one must stay in force, and those written next must come into force at all routers.
 func TestConfigurationAfterReturn(t *testing.T) {
-	for name, strike := range returns {
+	for name, restore := range restores {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, routers := threeRouters(t)
-			c := s.lostConfig(routers)
-			strike(s, c)
-			s.keeps(routers, 12)
-			// The offsets of these are those of the lost ones, and then the next.
-			s.inForce(routers, 7, "k7", "new")
-			s.inForce(routers, 9, "k9", "k7")
-			s.inForce(routers, 12, "k12", "k9")
+			c := s.copyThenChange(routers)
+			restore(s, c)
+			s.checkKept(routers, 12)
+			// These have the offsets of the lost configurations, and then the next ones.
+			s.putConfig(routers, 7, "k7", "new")
+			s.putConfig(routers, 9, "k9", "k7")
+			s.putConfig(routers, 12, "k12", "k9")
 		})
 	}
 }
 
-// TestOldConfigurationsAfterReturn has the operator write the lost configurations again, one after the other.
+// TestOldConfigurationsAfterReturn lets the operator write the lost configurations again, one after
+// the other.
 func TestOldConfigurationsAfterReturn(t *testing.T) {
 	t.Parallel()
 	s, routers := threeRouters(t)
-	c := s.lostConfig(routers)
+	c := s.copyThenChange(routers)
 	s.store.Return(c)
 	for _, config := range []string{operatorConfig(4, "k", "k4"), operatorConfig(5, "new")} {
 		s.store.Put(operatorStream, "config", config)
-		s.keeps(routers, 6)
+		s.checkKept(routers, 6)
 	}
-	s.inForce(routers, 8, "k8", "new")
+	s.putConfig(routers, 8, "k8", "new")
 }
 
-// TestStartAfterReturn starts routers right after the store has come back without the latest configuration.
+// TestStartAfterReturn starts routers after a restore of the store without the latest
+// configuration.
 func TestStartAfterReturn(t *testing.T) {
 	t.Run("beside others", func(t *testing.T) {
 		t.Parallel()
 		s, routers := threeRouters(t)
-		c := s.lostConfig(routers)
+		c := s.copyThenChange(routers)
 		s.store.Return(c)
 		routers["d"] = s.router("d", routers["a"].control)
-		s.keeps(routers, 12)
+		s.checkKept(routers, 12)
 		eventually(t, "the key in force at the new router", func() bool {
-			status, _, _ := ask(t.Context(), t, routers["d"].front, "/view/x", "new")
+			status, _, _ := post(t.Context(), t, routers["d"].front, "/view/x", "new")
 			return status == 200
 		})
-		s.inForce(routers, 7, "k7", "new")
+		s.putConfig(routers, 7, "k7", "new")
 	})
 	t.Run("all at once", func(t *testing.T) {
 		t.Parallel()
 		s, routers := threeRouters(t)
-		c := s.lostConfig(routers)
+		c := s.copyThenChange(routers)
 		for _, n := range routers {
 			n.kill()
 		}
@@ -160,21 +164,22 @@
 		for _, n := range routers {
 			n.start()
 		}
-		// Nobody knows what was in force: a key that the copy lists may have been taken away.
-		s.called(6)
+		// No router knows which configuration was in force: a key that the copy lists may have been
+		// removed.
+		s.awaitCalls(6)
 		for name, n := range routers {
-			if status, _, _ := ask(t.Context(), t, n.front, "/view/x", "k"); status == 200 {
-				t.Errorf("%s lets in a key that an accepted configuration has taken away", name)
+			if status, _, _ := post(t.Context(), t, n.front, "/view/x", "k"); status == 200 {
+				t.Errorf("%s accepts a key that an accepted configuration has removed", name)
 			}
 		}
-		s.inForce(routers, 5, "new", "k")
+		s.putConfig(routers, 5, "new", "k")
 	})
 	t.Run("all at once, long after it", func(t *testing.T) {
 		t.Parallel()
 		s, routers := threeRouters(t)
-		c := s.lostConfig(routers)
+		c := s.copyThenChange(routers)
 		s.store.Return(c)
-		s.inForce(routers, 7, "k7", "new")
+		s.putConfig(routers, 7, "k7", "new")
 		eventually(t, "a settled era in the store", func() bool {
 			for name := range routers {
 				if strings.Contains(s.store.Newest(nodeStream, name), `"settled_era":1`) {
@@ -193,28 +198,30 @@
 			n.start()
 		}
 		for name, n := range routers {
-			eventually(t, "the key at "+name, func() bool { status, _, _ := ask(t.Context(), t, n.front, "/view/x", "k7"); return status == 200 })
+			eventually(t, "the key at "+name, func() bool { status, _, _ := post(t.Context(), t, n.front, "/view/x", "k7"); return status == 200 })
 			raw, err := os.ReadFile(n.logs)
 			_, after, proven := strings.Cut(string(raw), "event=catalog-proven after_ms=")
 			ms := 0
-			if _, scanErr := fmt.Sscan(after, &ms); err != nil || proven && (scanErr != nil || ms >= settleMs) {
+			if _, scanErr := fmt.Sscan(after, &ms); err != nil || proven && (scanErr != nil || ms >= rewriteWindowMs) {
 				t.Errorf("%s has waited %d ms for the operator, %v, %v", name, ms, err, scanErr)
 			}
 		}
 	})
 }
 
-// settleMs is the time in which the operator writes again what was lost, in milliseconds.
-const settleMs = 2000
+// rewriteWindowMs is the time in which the operator writes lost configurations again, in
+// milliseconds.
+const rewriteWindowMs = 2000
 
-// TestReplicasAfterReturn has the store come back without what replicas have written last.
+// TestReplicasAfterReturn restores the store without the latest entries of replicas. Routers must
+// send no work to a replica that has left.
 func TestReplicasAfterReturn(t *testing.T) {
 	t.Parallel()
 	s, routers := threeRouters(t)
 	two, three := newReplica(t, "i-2", nil), newReplica(t, "i-3", nil)
 	s.store.Put(replicaStream, "i-2", two.entry("ready"))
 	eventually(t, "work for the second", func() bool {
-		_, body, _ := ask(t.Context(), t, routers["a"].front, "/view/x", "k")
+		_, body, _ := post(t.Context(), t, routers["a"].front, "/view/x", "k")
 		return body == "i-2 for seiryu"
 	})
 	c := s.store.Copy()
@@ -224,18 +231,18 @@
 	for name, n := range routers {
 		eventually(t, "work for the third only at "+name, func() bool {
 			for range 12 {
-				if _, body, _ := ask(t.Context(), t, n.front, "/view/x", "k"); body != "i-3 for seiryu" {
+				if _, body, _ := post(t.Context(), t, n.front, "/view/x", "k"); body != "i-3 for seiryu" {
 					return false
 				}
 			}
 			return true
 		})
 	}
-	before := two.runs.Load()
+	before := two.requests.Load()
 	s.store.Return(c)
 	for first := s.store.Calls(); s.store.Calls() < first+10; {
 		for name, n := range routers {
-			if _, body, _ := ask(t.Context(), t, n.front, "/view/x", "k"); body == "i-1 for seiryu" || body == "i-2 for seiryu" {
+			if _, body, _ := post(t.Context(), t, n.front, "/view/x", "k"); body == "i-1 for seiryu" || body == "i-2 for seiryu" {
 				t.Fatalf("%s sends work to a replica that has left: %s", name, body)
 			}
 		}
@@ -243,19 +250,21 @@
 	s.store.Put(replicaStream, "i-3", three.entry("ready"))
 	for name, n := range routers {
 		eventually(t, "work for the third again at "+name, func() bool {
-			_, body, _ := ask(t.Context(), t, n.front, "/view/x", "k")
+			_, body, _ := post(t.Context(), t, n.front, "/view/x", "k")
 			return body == "i-3 for seiryu"
 		})
 	}
-	if two.runs.Load() != before {
-		t.Errorf("a replica that leaves ran %d requests after the return", two.runs.Load()-before)
+	if two.requests.Load() != before {
+		t.Errorf("a replica that leaves ran %d requests after the restore", two.requests.Load()-before)
 	}
 }
 
-// rightAgain is the time within which everything that the system itself keeps in the store has to be there again after a return.
-const rightAgain = 5 * time.Second
+// recoveryTimeout is the time within which everything that the system itself keeps in the store has
+// to be there again after a restore.
+const recoveryTimeout = 5 * time.Second
 
-// TestRegisteredAfterReturn has the store come back without what the processes have written: it is written again.
+// TestRegisteredAfterReturn restores the store without the registrations of the processes, which
+// must be written again.
 func TestRegisteredAfterReturn(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
@@ -273,23 +282,24 @@
 		return true
 	}
 	eventually(t, "registered routers", registered)
-	// The list is read again ever more rarely.
-	s.called(24)
+	// The list is read at ever longer intervals.
+	s.awaitCalls(24)
 	s.store.Return(c)
-	begun := time.Now()
+	began := time.Now()
 	s.store.Put(operatorStream, "config", operatorConfig(3, "k"))
 	s.store.Put(replicaStream, "i-1", rp.entry("ready"))
 	eventually(t, "registered routers again", registered)
-	if took := time.Since(begun); took > rightAgain {
-		t.Errorf("the routers are registered again after %s, want %s at most", took, rightAgain)
+	if took := time.Since(began); took > recoveryTimeout {
+		t.Errorf("the routers are registered again after %s, want %s at most", took, recoveryTimeout)
 	}
 }
 
-// TestRanksAfterReturn has the store come back with fewer claims to coordinate a group, or without its agents, and the coordinator end:
-// another leads, maps follow what is liked, and no pass begins with two of them.
+// TestRanksAfterReturn restores the store with fewer claims to coordinate a group, or without its
+// agents, and kills the coordinator. Another agent must lead, maps must follow popularity, and no
+// pass may begin with two of them.
 func TestRanksAfterReturn(t *testing.T) {
-	// change has another agent coordinate.
-	change := func(r *ranks) {
+	// changeCoordinator kills the coordinator and waits for another one.
+	changeCoordinator := func(r *ranks) {
 		p := r.coordinator()
 		p.kill()
 		eventually(t, "another coordinator", func() bool { return r.coordinator() != p })
@@ -298,15 +308,15 @@
 	cases := map[string]func(r *ranks) metastore.Copy{
 		"with fewer claims": func(r *ranks) metastore.Copy {
 			c := r.store.Copy()
-			change(r)
-			change(r)
-			change(r)
+			changeCoordinator(r)
+			changeCoordinator(r)
+			changeCoordinator(r)
 			return c
 		},
 		"without its agents": func(r *ranks) metastore.Copy {
 			c := metastore.New()
 			c.Put(operatorStream, "config", r.store.Newest(operatorStream, "config"))
-			change(r)
+			changeCoordinator(r)
 			return c.Copy()
 		},
 	}
@@ -314,30 +324,31 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newRanks(t, 7)
-			r.drift("a first map", 1)
+			r.awaitMaps("a first map", 1)
 			r.store.Return(lose(r))
-			r.drift("a map that follows after the return", 2)
+			r.awaitMaps("a map that follows after the restore", 2)
 			p := r.coordinator()
 			p.kill()
-			begun := time.Now()
+			began := time.Now()
 			p.start()
-			r.drift("a map that follows after the end of the coordinator", 2)
-			if took := time.Since(begun); took > rightAgain {
-				t.Errorf("maps follow again %s after the end of the coordinator, want %s at most", took, rightAgain)
+			r.awaitMaps("a map that follows after the end of the coordinator", 2)
+			if took := time.Since(began); took > recoveryTimeout {
+				t.Errorf("maps follow again %s after the end of the coordinator, want %s at most", took, recoveryTimeout)
 			}
 		})
 	}
 }
 
-// TestStatusAfterReturn checks that operators see a return of the store at each router: in its lines, and in what it tells of itself.
+// TestStatusAfterReturn checks that operators see a restore of the store at each router: in its log
+// and in its status.
 func TestStatusAfterReturn(t *testing.T) {
 	t.Parallel()
 	s, routers := threeRouters(t)
-	c := s.lostConfig(routers)
+	c := s.copyThenChange(routers)
 	s.store.Return(c)
-	s.inForce(routers, 7, "k7", "new")
+	s.putConfig(routers, 7, "k7", "new")
 	for name, n := range routers {
-		eventually(t, "the return in the lines of "+name, func() bool {
+		eventually(t, "the restore in the log of "+name, func() bool {
 			raw, err := os.ReadFile(n.logs)
 			return err == nil && strings.Contains(string(raw), "event=feed-returned") && strings.Contains(string(raw), "event=catalog-proven")
 		})
--- a/tests/integration/platform_test.go
+++ b/tests/integration/platform_test.go
@@ -29,7 +29,7 @@
 const (
 	operatorStream = "keyed.op"
 	replicaStream  = "keyed.servers"
-	// quarantineStream is what routers keep there of requests that crash upstreams.
+	// quarantineStream is the stream in which routers keep the requests that crash upstreams.
 	quarantineStream = "keyed.fawnwinch-quarantine"
 )
 
@@ -37,8 +37,8 @@
 type replica struct {
 	id, address string
 	server      *httptest.Server
-	runs        atomic.Int32
-	// gate holds answers back while it is not nil.
+	requests    atomic.Int32
+	// gate delays answers until it is closed, unless it is nil.
 	gate chan struct{}
 }
 
@@ -50,7 +50,7 @@
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		}
-		rp.runs.Add(1)
+		rp.requests.Add(1)
 		if rp.gate != nil {
 			<-rp.gate
 		}
@@ -80,11 +80,11 @@
 type site struct {
 	t     *testing.T
 	store *metastore.Store
-	// calls counts those of all processes.
+	// calls counts the calls of the store by all processes.
 	calls *atomic.Int64
 	addr  string
 	dir   string
-	// ip is an address that this site has for itself, and ports counts the ports that were given out there.
+	// ip is the address of this site only, and ports counts the ports that were allocated there.
 	ip    string
 	ports atomic.Int32
 }
@@ -101,8 +101,9 @@
 	return &site{t: t, store: store, calls: calls, addr: strings.TrimPrefix(s.URL, "http://"), dir: t.TempDir(), ip: loopback()}
 }
 
-// nextPort returns a port that no other process of the site uses. Connections that go out from 127.0.0.1 are given ports as well: there
-// one was taken now and then before the process that it was meant for listened.
+// nextPort returns a port that no other process of the site uses. Sites do not use 127.0.0.1
+// because outgoing connections get ports there too: now and then one took a port before the process
+// that it was meant for listened.
 func (s *site) nextPort() int { return firstPort + int(s.ports.Add(1)) }
 
 // node is a running router.
@@ -112,7 +113,7 @@
 	settings                         string
 }
 
-// router starts a router. Seeds are addresses of others.
+// router starts a router. Seeds are the control addresses of other routers.
 func (s *site) router(name string, seeds ...string) *node {
 	s.t.Helper()
 	address := func() string { return net.JoinHostPort(s.ip, strconv.Itoa(s.nextPort())) }
@@ -130,7 +131,7 @@
 	s.t.Cleanup(func() {
 		n.kill()
 		if info, err := os.Stat(n.logs); err != nil || !info.Mode().IsRegular() {
-			return // a pipe that nobody writes to cannot be read
+			return // a pipe without a writer cannot be read
 		}
 		if raw, err := os.ReadFile(n.logs); err == nil && strings.Contains(string(raw), "DATA RACE") {
 			s.t.Errorf("%s has a data race:\n%s", name, raw)
@@ -143,14 +144,14 @@
 	return n
 }
 
-// ask sends a request to a router and returns the status, the body and the header.
-func ask(ctx context.Context, t *testing.T, address, path, key string) (int, string, http.Header) {
+// post sends a request to a router and returns the status, the body and the header.
+func post(ctx context.Context, t *testing.T, address, path, key string) (int, string, http.Header) {
 	t.Helper()
-	return askBody(ctx, t, address, path, key, "x")
+	return postBody(ctx, t, address, path, key, "x")
 }
 
-// askBody is ask with a body.
-func askBody(ctx context.Context, t *testing.T, address, path, key, body string) (int, string, http.Header) {
+// postBody is post with a body.
+func postBody(ctx context.Context, t *testing.T, address, path, key, body string) (int, string, http.Header) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, strings.NewReader(body))
 	if err != nil {
@@ -172,7 +173,8 @@
 	return resp.StatusCode, string(answer), resp.Header
 }
 
-// get returns the status and body of a question to a router; 0 if there is no answer.
+// get returns the status and body of a GET request to a router; the status is 0 if there is no
+// answer.
 func get(t testing.TB, url string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
@@ -202,59 +204,59 @@
 	return status == http.StatusOK
 }
 
-func (n *node) named(t *testing.T) string {
+func (n *node) resolve(t *testing.T) string {
 	_, body := get(t, "http://"+n.directory+"/fawnwinch/resolve?name=h&region=r&zone=a")
 	return body
 }
 
-// TestPlatformPath takes real routers through a day: a start without anything, a configuration, keys that
-// are taken away, an upstream that leaves, an outage of the store in which a router starts, trimmed
-// records, a change of settings, and a planned stop with a request in flight.
+// TestPlatformPath runs real routers through a start without a configuration, a first
+// configuration, removed keys, an upstream that leaves, trimmed records, a change of settings, and
+// an outage of the store in which a router starts.
 func TestPlatformPath(t *testing.T) {
 	s := newSite(t)
 	a := s.router("a")
-	eventually(t, "an answer", func() bool { status, _, _ := ask(t.Context(), t, a.front, "/peek/x", "k"); return status != 0 })
-	if status, _, header := ask(t.Context(), t, a.front, "/peek/x", "k"); status != 503 || header.Get("Retry-After") == "" || a.isReady() {
+	eventually(t, "an answer", func() bool { status, _, _ := post(t.Context(), t, a.front, "/peek/x", "k"); return status != 0 })
+	if status, _, header := post(t.Context(), t, a.front, "/peek/x", "k"); status != 503 || header.Get("Retry-After") == "" || a.isReady() {
 		t.Errorf("before the configuration: status %d, Retry-After %q", status, header.Get("Retry-After"))
 	}
 	one, two := newReplica(t, "i-1", nil), newReplica(t, "i-2", nil)
 	s.store.Put(operatorStream, "config", operatorConfig(3, "k", "k2"))
 	s.store.Put(replicaStream, "i-1", one.entry("ready"))
 	eventually(t, "a served request", func() bool {
-		status, body, _ := ask(t.Context(), t, a.front, "/peek/x", "k")
+		status, body, _ := post(t.Context(), t, a.front, "/peek/x", "k")
 		return status == 200 && body == "i-1 for seiryu"
 	})
 	t.Run("a key is taken away", func(t *testing.T) {
 		s.store.Put(operatorStream, "config", operatorConfig(5, "k"))
-		eventually(t, "the refusal", func() bool { status, _, _ := ask(t.Context(), t, a.front, "/peek/x", "k2"); return status == 401 })
+		eventually(t, "the refusal", func() bool { status, _, _ := post(t.Context(), t, a.front, "/peek/x", "k2"); return status == 401 })
 		s.store.Put(operatorStream, "config", operatorConfig(4, "k", "k2"))
 		s.store.Put(operatorStream, "other", "{")
-		if status, _, _ := ask(t.Context(), t, a.front, "/peek/x", "k2"); status != 401 {
+		if status, _, _ := post(t.Context(), t, a.front, "/peek/x", "k2"); status != 401 {
 			t.Errorf("an older configuration came back: status %d", status)
 		}
 	})
 	t.Run("an upstream leaves", func(t *testing.T) {
 		s.store.Put(replicaStream, "i-2", two.entry("ready"))
 		eventually(t, "the new one", func() bool {
-			_, body, _ := ask(t.Context(), t, a.front, "/view/x", "k")
+			_, body, _ := post(t.Context(), t, a.front, "/view/x", "k")
 			return body == "i-2 for seiryu"
 		})
 		s.store.Put(replicaStream, "i-1", one.entry("draining"))
 		eventually(t, "no work for the old one", func() bool {
-			before := one.runs.Load()
+			before := one.requests.Load()
 			for range 12 {
-				if status, _, _ := ask(t.Context(), t, a.front, "/view/x", "k"); status != 200 {
+				if status, _, _ := post(t.Context(), t, a.front, "/view/x", "k"); status != 200 {
 					return false
 				}
 			}
-			return one.runs.Load() == before
+			return one.requests.Load() == before
 		})
 	})
 	t.Run("trimmed records", func(t *testing.T) {
 		s.store.Trim(replicaStream)
 		s.store.Trim(operatorStream)
 		s.store.Put(operatorStream, "config", operatorConfig(6, "k", "k3"))
-		eventually(t, "the new key", func() bool { status, _, _ := ask(t.Context(), t, a.front, "/peek/x", "k3"); return status == 200 })
+		eventually(t, "the new key", func() bool { status, _, _ := post(t.Context(), t, a.front, "/peek/x", "k3"); return status == 200 })
 	})
 	t.Run("settings change", func(t *testing.T) {
 		a.signal(syscall.SIGHUP)
@@ -262,7 +264,7 @@
 			raw, _ := os.ReadFile(a.logs)
 			return strings.Contains(string(raw), "event=reload")
 		})
-		if status, _, _ := ask(t.Context(), t, a.front, "/peek/x", "k"); status != 200 {
+		if status, _, _ := post(t.Context(), t, a.front, "/peek/x", "k"); status != 200 {
 			t.Errorf("status %d after SIGHUP", status)
 		}
 	})
@@ -270,9 +272,9 @@
 		s.store.Trouble(metastore.TroubleBusy)
 		defer s.store.Trouble(metastore.TroubleNone)
 		b := s.router("b", a.control)
-		eventually(t, "a request served by it", func() bool { status, _, _ := ask(t.Context(), t, b.front, "/peek/x", "k"); return status == 200 })
-		eventually(t, "keys that nobody can vouch for are refused", func() bool {
-			status, _, header := ask(t.Context(), t, b.front, "/peek/x", "k")
+		eventually(t, "a request served by it", func() bool { status, _, _ := post(t.Context(), t, b.front, "/peek/x", "k"); return status == 200 })
+		eventually(t, "refused keys that cannot be verified as current", func() bool {
+			status, _, header := post(t.Context(), t, b.front, "/peek/x", "k")
 			return status == 503 && header.Get("Retry-After") != ""
 		})
 	})
@@ -289,25 +291,25 @@
 	a := s.router("a")
 	b := s.router("b")
 	eventually(t, "both ready", func() bool { return a.isReady() && b.isReady() })
-	eventually(t, "both named", func() bool { return strings.Contains(b.named(t), a.front) && strings.Contains(b.named(t), b.front) })
+	eventually(t, "both named", func() bool { return strings.Contains(b.resolve(t), a.front) && strings.Contains(b.resolve(t), b.front) })
 	type result struct {
 		status int
 		body   string
 	}
 	answered := make(chan result, 1)
 	go func() {
-		status, body, _ := ask(context.Background(), t, a.front, "/peek/x", "k")
+		status, body, _ := post(context.Background(), t, a.front, "/peek/x", "k")
 		answered <- result{status, body}
 	}()
-	eventually(t, "the request at the replica", func() bool { return slow.runs.Load() == 1 })
+	eventually(t, "the request at the replica", func() bool { return slow.requests.Load() == 1 })
 	a.signal(syscall.SIGTERM)
 	eventually(t, "not ready", func() bool { return !a.isReady() })
-	eventually(t, "not named", func() bool { return !strings.Contains(b.named(t), a.front) })
+	eventually(t, "not named", func() bool { return !strings.Contains(b.resolve(t), a.front) })
 	close(gate)
 	if r := <-answered; r.status != 200 || r.body != "i-1 for seiryu" {
 		t.Errorf("the request in flight got status %d, %q", r.status, r.body)
 	}
-	if status, _, header := ask(t.Context(), t, a.front, "/peek/x", "k"); status != 200 || header.Get("Connection") == "keep-alive" {
+	if status, _, header := post(t.Context(), t, a.front, "/peek/x", "k"); status != 200 || header.Get("Connection") == "keep-alive" {
 		t.Errorf("a caller that still holds the address got status %d", status)
 	}
 	select {
@@ -338,7 +340,7 @@
 	}
 }
 
-// TestPlatformLogs checks that a process goes on when nobody reads its logs.
+// TestPlatformLogs checks that a process goes on when its logs are not read.
 func TestPlatformLogs(t *testing.T) {
 	s := newSite(t)
 	rp := newReplica(t, "i-1", nil)
@@ -361,7 +363,7 @@
 	eventually(t, "ready", n.isReady)
 	const requests = 600 // their lines are more than the pipe holds
 	for i := range requests {
-		if status, _, _ := ask(t.Context(), t, n.front, "/view/x", "k"); status != 200 {
+		if status, _, _ := post(t.Context(), t, n.front, "/view/x", "k"); status != 200 {
 			t.Fatalf("request %d: status %d", i, status)
 		}
 	}
