--- a/tests/integration/answers_test.go
+++ b/tests/integration/answers_test.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// TestStreamResumes cuts every stream of one rank after some bytes. Callers see each token once, in order.
+// TestStreamResumes cuts every stream of one rank after some bytes. Callers see each token once, in
+// order.
 func TestStreamResumes(t *testing.T) {
 	l := &links{proxies: map[upstream.ID]*toxiproxy.Proxy{}}
 	var c *cluster
--- a/tests/integration/cost_test.go
+++ b/tests/integration/cost_test.go
@@ -44,7 +44,8 @@
 	return h, first
 }
 
-// BenchmarkAddedDelay compares calls through a router and an agent with direct ones in the same run.
+// BenchmarkAddedDelay compares calls through a router and an agent with direct ones in the same
+// run.
 func BenchmarkAddedDelay(b *testing.B) {
 	c := newCluster(b, options{routers: 2, plains: 2})
 	paths := map[string]func(client *http.Client, n int) error{
--- a/tests/integration/operator_test.go
+++ b/tests/integration/operator_test.go
@@ -67,7 +67,8 @@
 	c.followRequest()
 }
 
-// followRequest checks that the time line shows one hold at the router and the agent in causal order.
+// followRequest checks that the time line shows one hold at the router and the agent in causal
+// order.
 func (c *cluster) followRequest() {
 	t := c.t
 	c.hold(1, "small", "followed", 5*time.Second)
--- a/tests/integration/platform_crash_test.go
+++ b/tests/integration/platform_crash_test.go
@@ -143,10 +143,10 @@
 }
 
 // TestCrashingRequest sends a request that crashes every replica that runs it, again and again and
-// at any router. It guards against replicas lost to the retries of a caller: such a request was sent
-// to replicas four times more after it had crashed three, eight had ended when its caller gave up,
-// and a service was out for twenty seconds at a time. Routers identified requests by their ids, and
-// each retry of the caller has a new one. Two routers logged, within 0.3 ms,
+// at any router. It guards against replicas lost to the retries of a caller: such a request was
+// sent to replicas four times more after it had crashed three, eight had ended when its caller gave
+// up, and a service was out for twenty seconds at a time. Routers identified requests by their ids,
+// and each retry of the caller has a new one. Two routers logged, within 0.3 ms,
 //
 //	81.6846 event=attempt-failed error="upstream i-2a97f9c5ab: after event \"\": unexpected EOF" may_run=true result=broken
 //	81.6849 event=attempt-failed error="connect to upstream i-2a97f9c5ab: ... connection refused" may_run=false result=unreached
--- a/tests/integration/platform_test.go
+++ b/tests/integration/platform_test.go
@@ -280,8 +280,8 @@
 	})
 }
 
-// TestPlatformStop stops a router with a request in flight: it leaves the directory at once, and the
-// request gets its answer.
+// TestPlatformStop stops a router with a request in flight: it leaves the directory at once, and
+// the request gets its answer.
 func TestPlatformStop(t *testing.T) {
 	s := newSite(t)
 	gate := make(chan struct{})
