--- a/services/admission/admission.go
+++ b/services/admission/admission.go
@@ -53,8 +53,8 @@
 	OutcomeRejected Outcome = "rejected"
 )
 
-// Verdict is the decision on a request and its parameters.
-type Verdict struct {
+// Decision is the decision on a request and its parameters.
+type Decision struct {
 	Outcome Outcome
 	// Upstream is the upstream for a granted request.
 	Upstream upstream.Instance
@@ -140,7 +140,7 @@
 }
 
 // Arrive decides what happens to a newly arrived request, given the upstreams that may accept work.
-func (q *Queue) Arrive(now time.Time, x *Request, usable []upstream.Instance) Verdict {
+func (q *Queue) Arrive(now time.Time, x *Request, usable []upstream.Instance) Decision {
 	if q.firstArrival.IsZero() {
 		q.firstArrival = now
 	}
@@ -150,10 +150,10 @@
 	wait := q.wait(now, x, len(usable) == 0, opening)
 	if len(q.waiting) == 0 {
 		if u, ok := q.pick(now, x, usable); ok {
-			return Verdict{Outcome: OutcomeGranted, Upstream: u}
+			return Decision{Outcome: OutcomeGranted, Upstream: u}
 		}
 	}
-	v := Verdict{Outcome: OutcomeRejected, RetryAfter: q.retryAfter(now, x, opening), Opening: opening}
+	v := Decision{Outcome: OutcomeRejected, RetryAfter: q.retryAfter(now, x, opening), Opening: opening}
 	if len(q.waiting) < maxWaiting && wait > 0 {
 		x.due = now.Add(time.Duration(dueFraction * float64(wait)))
 		q.waiting = append(q.waiting, x)
@@ -202,8 +202,8 @@
 // Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return len(q.waiting) }
 
-// AfterNotRun forecasts when a request that upstreams did not run finds room.
-func (q *Queue) AfterNotRun(now time.Time, x *Request, usable []upstream.Instance) time.Duration {
+// RetryAfterNotRun forecasts when a request that upstreams did not run finds room.
+func (q *Queue) RetryAfterNotRun(now time.Time, x *Request, usable []upstream.Instance) time.Duration {
 	after := plainRetryAfter
 	if x.Ask.Engine != nil {
 		// Ranks reject requests while their group is broken.
--- a/services/admission/admission_test.go
+++ b/services/admission/admission_test.go
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestLearns checks that a newly started router treats callers with a timeout below the route's as
-// retries, and that it uses the timeouts it has seen after the learning period.
-func TestLearns(t *testing.T) {
+// TestLearningPeriod checks that a newly started router treats callers with a timeout below the
+// route's as retries, and that it uses the timeouts it has seen after the learning period.
+func TestLearningPeriod(t *testing.T) {
 	now := time.Unix(1000, 0)
 	x := &Request{Route: "r", Patience: 6 * time.Second, Timeout: 8 * time.Second}
 	q := NewQueue(balance.NewPool(""))
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestBack checks the retry time for callers of a broken group.
-func TestBack(t *testing.T) {
+// TestReopening checks the retry time for callers of a broken group.
+func TestReopening(t *testing.T) {
 	now := time.Unix(1000, 0)
 	engine := &catalog.Engine{FormTime: 600 * time.Millisecond}
 	forms := engine.FormTime + listingDelay
--- a/services/balance/balance_test.go
+++ b/services/balance/balance_test.go
@@ -224,31 +224,31 @@
 	}
 }
 
-// TestOldReport checks what a router's choice depends on as a report ages: first its allotment,
+// TestStaleReport checks what a router's choice depends on as a report ages: first its allotment,
 // then its own sends, and unused allotments as long as the report is valid.
-func TestOldReport(t *testing.T) {
+func TestStaleReport(t *testing.T) {
 	cands, ids := candidates(2)
-	report := func(p *Pool, places Places) {
+	report := func(p *Pool, places Allotment) {
 		p.Report(begin, Group{ID: "g", Open: true, Ranks: []RankLoad{{Address: "a0", Running: 5, Pace: 1}, {Address: "a1", Running: 1, Pace: 1}}, Places: places}, ids)
 	}
 	ask := Ask{Engine: engine, Bounds: Bounds{Rank: 6, Mean: 6}, Routers: 3}
 	old := freshFor + time.Millisecond
 	cases := map[string]struct {
-		places Places
+		places Allotment
 		do     func(p *Pool)
 		at     time.Duration
 		want   upstream.ID
 	}{
-		"a place":           {Places{"a0": 1}, func(*Pool) {}, 0, "u0"},
-		"the place is used": {Places{"a0": 1}, func(p *Pool) { p.Sent(begin, run("u0")) }, 0, ""},
-		"its stream has ended": {Places{"a0": 1}, func(p *Pool) {
+		"a place":           {Allotment{"a0": 1}, func(*Pool) {}, 0, "u0"},
+		"the place is used": {Allotment{"a0": 1}, func(p *Pool) { p.Sent(begin, run("u0")) }, 0, ""},
+		"its stream has ended": {Allotment{"a0": 1}, func(p *Pool) {
 			p.Sent(begin, run("u0"))
 			p.Started(begin, run("u0"))
 			p.Done(begin, run("u0"), ResultOK, 0, true)
 		}, 0, "u0"},
-		"no place, the report is old":           {Places{}, func(p *Pool) { p.Sent(begin, run("u1")) }, old, "u0"},
-		"a place that is left of an old report": {Places{"a1": 3}, func(p *Pool) { p.Sent(begin, run("u0")); p.Sent(begin, run("u0")) }, old, "u1"},
-		"not beyond what others may have sent": {Places{}, func(p *Pool) {
+		"no place, the report is old":           {Allotment{}, func(p *Pool) { p.Sent(begin, run("u1")) }, old, "u0"},
+		"a place that is left of an old report": {Allotment{"a1": 3}, func(p *Pool) { p.Sent(begin, run("u0")); p.Sent(begin, run("u0")) }, old, "u1"},
+		"not beyond what others may have sent": {Allotment{}, func(p *Pool) {
 			p.Sent(begin, run("u0"))
 			p.Sent(begin, run("u1"))
 			p.Sent(begin, run("u0"))
@@ -283,9 +283,10 @@
 	}
 }
 
-// TestBornAgain checks that a restarted upstream keeps neither the requests nor the failures of its
-// earlier run, and that the end of a request to the earlier run does not change its state.
-func TestBornAgain(t *testing.T) {
+// TestRestartedUpstream checks that a restarted upstream keeps neither the requests nor the
+// failures of its earlier run, and that the end of a request to the earlier run does not change its
+// state.
+func TestRestartedUpstream(t *testing.T) {
 	p := NewPool("")
 	before := upstream.Instance{ID: "u0", Born: 100, Slots: 1}
 	p.Sent(begin, before.Run())
@@ -311,8 +312,8 @@
 	}
 }
 
-// TestTurnsAway checks when rejections by ranks apply to their groups.
-func TestTurnsAway(t *testing.T) {
+// TestRejecting checks when rejections by ranks apply to their groups.
+func TestRejecting(t *testing.T) {
 	full := func(p *Pool) { p.Sent(begin, run("u0")); p.Done(begin, run("u0"), ResultFull, 0, false) }
 	cases := map[string]struct {
 		before func(p *Pool)
@@ -356,8 +357,8 @@
 	}
 }
 
-// TestDrain checks the forecast of completed streams per second and rank.
-func TestDrain(t *testing.T) {
+// TestDrainRate checks the forecast of completed streams per second and rank.
+func TestDrainRate(t *testing.T) {
 	e := *engine
 	if got := DrainRate(&e, GroupLoad{}, Bounds{Mean: 4}); got != 0 {
 		t.Errorf("%.2f streams a second without the length of answers", got)
--- a/services/balance/book.go
+++ b/services/balance/book.go
@@ -48,14 +48,14 @@
 	wanted, waiting int
 	rate            float64
 	// maxSends limits the requests that the router may send to some ranks.
-	maxSends Most
+	maxSends SendLimits
 	// backingOff holds the ranks that have asked the router to back off.
 	backingOff []string
 	// list is the number of the rank list that the router has.
 	list uint64
 	// outstanding holds the allotments, by report number, whose use the router has not reported
 	// yet.
-	outstanding map[uint64]Places
+	outstanding map[uint64]Allotment
 }
 
 const (
@@ -99,9 +99,9 @@
 	return out
 }
 
-// Want records that a router has requests for the group, and returns the load packed for that
-// router.
-func (b *Book) Want(now time.Time, w Want, g Group) Report {
+// HandleLoadRequest records that a router has requests for the group, and returns the load packed
+// for that router.
+func (b *Book) HandleLoadRequest(now time.Time, w LoadRequest, g Group) Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.entry(w.Router)
@@ -117,7 +117,7 @@
 func (b *Book) entry(r peer.Info) *routerEntry {
 	e, ok := b.routers[r.Name]
 	if !ok {
-		e = &routerEntry{outstanding: map[uint64]Places{}}
+		e = &routerEntry{outstanding: map[uint64]Allotment{}}
 		b.routers[r.Name] = e
 	}
 	e.info = r
@@ -146,7 +146,7 @@
 
 // Report starts a report. It returns the report's number and the allotments of the routers with a
 // valid reply. Other routers decide by themselves, and all do if bounds is nil.
-func (b *Book) Report(now time.Time, routers []peer.Info, ranks []RankLoad, bounds *Bounds) (uint64, map[string]Places) {
+func (b *Book) Report(now time.Time, routers []peer.Info, ranks []RankLoad, bounds *Bounds) (uint64, map[string]Allotment) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reports++
@@ -158,7 +158,7 @@
 	if bounds == nil {
 		return b.reports, nil
 	}
-	outstanding := Places{}
+	outstanding := Allotment{}
 	var demands []Demand
 	for _, r := range routers {
 		e, ok := b.routers[r.Name]
@@ -168,20 +168,20 @@
 		b.backlog.Waiting += e.waiting
 		b.backlog.Rate += e.rate
 		demands = append(demands, Demand{Router: r.Name, Requests: e.wanted, DataCentre: r.DataCentre, Most: e.maxSends, Resting: e.backingOff})
-		for _, places := range e.outstanding {
-			for address, n := range places {
+		for _, allotment := range e.outstanding {
+			for address, n := range allotment {
 				outstanding[address] += n
 			}
 		}
 	}
-	places := b.allotter.Allot(ranks, *bounds, outstanding, demands, b.probes(now, ranks, demands))
-	for name, p := range places {
+	allotments := b.allotter.Allot(ranks, *bounds, outstanding, demands, b.probes(now, ranks, demands))
+	for name, p := range allotments {
 		b.routers[name].outstanding[b.reports] = p
 		for _, n := range p {
 			b.backlog.Free += n
 		}
 	}
-	return b.reports, places
+	return b.reports, allotments
 }
 
 // probeInterval is the time between two probe requests to a rank that rejects requests and runs
@@ -191,8 +191,8 @@
 // probes limits the allotments at ranks that look idle because they reject requests. Each router
 // without a rejection would send there first, and most of many routers have none. One request at a
 // time finds out when such a rank accepts requests again. The caller holds the lock.
-func (b *Book) probes(now time.Time, ranks []RankLoad, demands []Demand) Most {
-	out := Most{}
+func (b *Book) probes(now time.Time, ranks []RankLoad, demands []Demand) SendLimits {
+	out := SendLimits{}
 	for _, r := range ranks {
 		rejects := slices.ContainsFunc(demands, func(d Demand) bool { return slices.Contains(d.Resting, r.Address) })
 		switch {
@@ -237,7 +237,7 @@
 	}
 	e.answeredAt, e.report, e.unstarted, e.wanted = now, report, list.UnpackUnstarted(reply.Unstarted), reply.Wanted
 	e.waiting, e.rate = reply.Waiting, reply.Rate
-	e.maxSends, e.backingOff = list.UnpackMost(reply.Most), list.UnpackRanks(reply.Resting)
+	e.maxSends, e.backingOff = list.UnpackLimits(reply.Most), list.UnpackRanks(reply.Resting)
 	for n := range e.outstanding {
 		if n < report {
 			delete(e.outstanding, n)
--- a/services/balance/book_test.go
+++ b/services/balance/book_test.go
@@ -17,7 +17,7 @@
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
 	ranks := []RankLoad{{Address: "e"}}
 	bounds := &Bounds{Rank: 8, Mean: 8}
-	sum := func(places map[string]Places) int {
+	sum := func(places map[string]Allotment) int {
 		n := 0
 		for _, p := range places {
 			n += p["e"]
@@ -72,7 +72,7 @@
 	g := Group{Ranks: ranks}
 	bounds := &Bounds{Rank: 8, Mean: 8}
 	b := NewBook(1)
-	sendReport := func(ms int, read bool) (carried bool, places Places) {
+	sendReport := func(ms int, read bool) (carried bool, places Allotment) {
 		now := begin.Add(time.Duration(ms) * time.Millisecond)
 		number, all := b.Report(now, []peer.Info{{Name: "a"}}, g.Ranks, bounds)
 		report, list := b.Pack("a", g)
@@ -132,7 +132,7 @@
 	if len(reports) != len(many) {
 		t.Errorf("a new coordinator has told %d routers after %d looks", len(reports), initialRounds)
 	}
-	b.Want(begin, Want{Router: many[7]}, Group{})
+	b.HandleLoadRequest(begin, LoadRequest{Router: many[7]}, Group{})
 	b.Answered(begin, many[8], 1, RankList{}, ReportReply{Idle: true})
 	reports = map[string]int{}
 	for round := range rotationRounds {
@@ -162,15 +162,15 @@
 		after   time.Duration
 		running int
 		resting []string
-		want    Most
+		want    SendLimits
 	}{
-		{0, 0, nil, Most{}},
-		{100 * time.Millisecond, 0, []string{"a"}, Most{"a": 1}},
-		{200 * time.Millisecond, 0, []string{"a"}, Most{"a": 0}},
-		{1100 * time.Millisecond, 0, []string{"a"}, Most{"a": 1}},
-		{1200 * time.Millisecond, 1, []string{"a"}, Most{}},
-		{1300 * time.Millisecond, 0, []string{"a"}, Most{"a": 1}},
-		{1400 * time.Millisecond, 0, nil, Most{}},
+		{0, 0, nil, SendLimits{}},
+		{100 * time.Millisecond, 0, []string{"a"}, SendLimits{"a": 1}},
+		{200 * time.Millisecond, 0, []string{"a"}, SendLimits{"a": 0}},
+		{1100 * time.Millisecond, 0, []string{"a"}, SendLimits{"a": 1}},
+		{1200 * time.Millisecond, 1, []string{"a"}, SendLimits{}},
+		{1300 * time.Millisecond, 0, []string{"a"}, SendLimits{"a": 1}},
+		{1400 * time.Millisecond, 0, nil, SendLimits{}},
 	}
 	for _, s := range steps {
 		ranks := []RankLoad{{Address: "a", Running: s.running}, {Address: "b"}}
--- a/services/balance/budget.go
+++ b/services/balance/budget.go
@@ -25,13 +25,13 @@
 // that restarts repeatedly gets no more than its share.
 func NewBudget(now time.Time, ratio, slack float64, window time.Duration, routers int) *Budget {
 	b := &Budget{refilledAt: now}
-	b.Rebound(now, ratio, slack, window, routers)
+	b.SetLimits(now, ratio, slack, window, routers)
 	b.tokens = b.capacity / 2
 	return b
 }
 
-// Rebound changes the limits. Saved tokens are kept up to the new capacity.
-func (b *Budget) Rebound(now time.Time, ratio, slack float64, window time.Duration, routers int) {
+// SetLimits changes the limits. Saved tokens are kept up to the new capacity.
+func (b *Budget) SetLimits(now time.Time, ratio, slack float64, window time.Duration, routers int) {
 	b.refill(now)
 	share := budgetFraction * slack / float64(max(routers, minRouters)) / 2
 	b.ratio, b.rate, b.capacity = ratio*budgetFraction, share/window.Seconds(), share
--- a/services/balance/group.go
+++ b/services/balance/group.go
@@ -49,7 +49,7 @@
 	Ranks []RankLoad
 	// Places is what the receiving router may send until the next report; nil if the router decides
 	// by itself.
-	Places Places
+	Places Allotment
 }
 
 // Pace returns the pace of the slowest rank, at least 1.
--- a/services/balance/opening.go
+++ b/services/balance/opening.go
@@ -14,11 +14,11 @@
 // Most returns the limits on requests to some upstreams until the next report, from the conditions
 // that they report, and the upstreams that have asked this router to back off. Addresses maps
 // upstream addresses to runs. Upstreams without a limit are left out.
-func (p *Pool) Most(now time.Time, addresses map[string]upstream.Run) (most Most, resting []string) {
+func (p *Pool) Most(now time.Time, addresses map[string]upstream.Run) (most SendLimits, resting []string) {
 	if p.conditions.Empty() {
 		return nil, nil
 	}
-	most = Most{}
+	most = SendLimits{}
 	for address, run := range addresses {
 		kind, wait := p.conditions.Judge(now, run)
 		switch {
--- a/services/balance/places.go
+++ b/services/balance/places.go
@@ -10,9 +10,9 @@
 	"fawnwinch.org/fawnwinch/models/vm"
 )
 
-// Places maps rank addresses to the number of requests that a router may send there until the next
-// report.
-type Places map[string]int
+// Allotment maps rank addresses to the number of requests that a router may send there until the
+// next report.
+type Allotment map[string]int
 
 // Demand is the number of requests that a router wants to send until the next report.
 type Demand struct {
@@ -21,17 +21,17 @@
 	DataCentre vm.DataCentre
 	// Most limits the requests to some ranks, by the limits that these ranks report; others are
 	// unlimited.
-	Most Most
+	Most SendLimits
 	// Resting holds the addresses of the ranks that have asked the router to back off.
 	Resting []string
 }
 
-// Most limits the requests that a router may send to some ranks until the next report, by rank
-// address. It applies even if the ranks have room.
-type Most map[string]int
+// SendLimits limits the requests that a router may send to some ranks until the next report, by
+// rank address. It applies even if the ranks have room.
+type SendLimits map[string]int
 
 // allows reports whether a router with the given allotment may get one more request at a rank.
-func (m Most) allows(address string, allotted Places) bool {
+func (m SendLimits) allows(address string, allotted Allotment) bool {
 	limit, limited := m[address]
 	return !limited || allotted[address] < limit
 }
@@ -72,10 +72,10 @@
 // use by now, and caps limits the allotments at some ranks for all routers together. Routers get
 // allotments in proportion to their demand, but each gets some: their demand figures are old as
 // well.
-func (a *Allotter) Allot(ranks []RankLoad, b Bounds, outstanding Places, demands []Demand, caps Most) map[string]Places {
-	out := map[string]Places{}
+func (a *Allotter) Allot(ranks []RankLoad, b Bounds, outstanding Allotment, demands []Demand, caps SendLimits) map[string]Allotment {
+	out := map[string]Allotment{}
 	for _, d := range demands {
-		out[d.Router] = Places{}
+		out[d.Router] = Allotment{}
 	}
 	if len(demands) == 0 || len(ranks) == 0 {
 		return out
@@ -90,7 +90,7 @@
 		left -= loads[i]
 	}
 	skipSlow := canSkipSlow(ranks)
-	allotted := Places{}
+	allotted := Allotment{}
 	for left >= 1 {
 		i := leastLoaded(ranks, loads, unstarted, b, skipSlow)
 		if i < 0 {
@@ -170,7 +170,7 @@
 
 // next returns the router that gets the next request at a rank, based on the allotments so far; ""
 // if none may send there.
-func (a *Allotter) next(demands []Demand, rank *RankLoad, allotted map[string]Places) string {
+func (a *Allotter) next(demands []Demand, rank *RankLoad, allotted map[string]Allotment) string {
 	at := rank.DataCentre
 	total := 0.0
 	for _, d := range demands {
--- a/services/balance/places_test.go
+++ b/services/balance/places_test.go
@@ -15,19 +15,19 @@
 	cases := map[string]struct {
 		ranks       []RankLoad
 		bounds      Bounds
-		outstanding Places
-		want        Places
+		outstanding Allotment
+		want        Allotment
 	}{
-		"empty ranks get up to the mean":            {[]RankLoad{{Address: "a"}, {Address: "b"}}, Bounds{Rank: 5, Mean: 3}, nil, Places{"a": 3, "b": 3}},
-		"the emptier rank gets more":                {[]RankLoad{{Address: "a", Running: 4}, {Address: "b"}}, Bounds{Rank: 5, Mean: 3}, nil, Places{"b": 2}},
-		"a full rank gets none":                     {[]RankLoad{{Address: "a", Running: 5}, {Address: "b", Running: 5}}, Bounds{Rank: 5, Mean: 9}, nil, Places{}},
-		"requests that have not begun count":        {[]RankLoad{{Address: "a", Running: 2, Unstarted: 2}}, Bounds{Rank: 5, Mean: 5}, nil, Places{"a": 1}},
-		"a rank's own count of them does not add":   {[]RankLoad{{Address: "a", Running: 2, Waiting: 2, Unstarted: 2}}, Bounds{Rank: 5, Mean: 5}, nil, Places{"a": 1}},
-		"places given before may be in use":         {[]RankLoad{{Address: "a"}, {Address: "b"}}, Bounds{Rank: 3, Mean: 3}, Places{"a": 2}, Places{"a": 1, "b": 3}},
-		"a slow rank gets fewer":                    {[]RankLoad{{Address: "a", Running: 2, Pace: 4}, {Address: "b", Running: 2}}, Bounds{Rank: 9, Mean: 4}, nil, Places{"b": 4}},
-		"a rank that reads a prompt is left for it": {[]RankLoad{{Address: "a", Unstarted: 1}, {Address: "b", Running: 2}}, Bounds{Rank: 9, Mean: 2}, nil, Places{"b": 1}},
-		"a rank has prompts enough to read":         {[]RankLoad{{Address: "a", Unstarted: 2}, {Address: "b", Unstarted: 1}, {Address: "c"}}, Bounds{Rank: 9, Mean: 9, Unstarted: 2}, Places{"c": 1}, Places{"b": 1, "c": 1}},
-		"more than the mean is running":             {[]RankLoad{{Address: "a", Running: 9}, {Address: "b", Running: 9}}, Bounds{Rank: 20, Mean: 4}, nil, Places{}},
+		"empty ranks get up to the mean":            {[]RankLoad{{Address: "a"}, {Address: "b"}}, Bounds{Rank: 5, Mean: 3}, nil, Allotment{"a": 3, "b": 3}},
+		"the emptier rank gets more":                {[]RankLoad{{Address: "a", Running: 4}, {Address: "b"}}, Bounds{Rank: 5, Mean: 3}, nil, Allotment{"b": 2}},
+		"a full rank gets none":                     {[]RankLoad{{Address: "a", Running: 5}, {Address: "b", Running: 5}}, Bounds{Rank: 5, Mean: 9}, nil, Allotment{}},
+		"requests that have not begun count":        {[]RankLoad{{Address: "a", Running: 2, Unstarted: 2}}, Bounds{Rank: 5, Mean: 5}, nil, Allotment{"a": 1}},
+		"a rank's own count of them does not add":   {[]RankLoad{{Address: "a", Running: 2, Waiting: 2, Unstarted: 2}}, Bounds{Rank: 5, Mean: 5}, nil, Allotment{"a": 1}},
+		"places given before may be in use":         {[]RankLoad{{Address: "a"}, {Address: "b"}}, Bounds{Rank: 3, Mean: 3}, Allotment{"a": 2}, Allotment{"a": 1, "b": 3}},
+		"a slow rank gets fewer":                    {[]RankLoad{{Address: "a", Running: 2, Pace: 4}, {Address: "b", Running: 2}}, Bounds{Rank: 9, Mean: 4}, nil, Allotment{"b": 4}},
+		"a rank that reads a prompt is left for it": {[]RankLoad{{Address: "a", Unstarted: 1}, {Address: "b", Running: 2}}, Bounds{Rank: 9, Mean: 2}, nil, Allotment{"b": 1}},
+		"a rank has prompts enough to read":         {[]RankLoad{{Address: "a", Unstarted: 2}, {Address: "b", Unstarted: 1}, {Address: "c"}}, Bounds{Rank: 9, Mean: 9, Unstarted: 2}, Allotment{"c": 1}, Allotment{"b": 1, "c": 1}},
+		"more than the mean is running":             {[]RankLoad{{Address: "a", Running: 9}, {Address: "b", Running: 9}}, Bounds{Rank: 20, Mean: 4}, nil, Allotment{}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -68,16 +68,16 @@
 	ranks := []RankLoad{{Address: "a", DataCentre: "east"}, {Address: "b", DataCentre: "west"}}
 	cases := map[string]struct {
 		demands []Demand
-		near    Places
+		near    Allotment
 	}{
 		"as many callers in both": {
-			[]Demand{{Router: "e", Requests: 9, DataCentre: "east"}, {Router: "w", Requests: 9, DataCentre: "west"}}, Places{"a": 80, "b": 20},
+			[]Demand{{Router: "e", Requests: 9, DataCentre: "east"}, {Router: "w", Requests: 9, DataCentre: "west"}}, Allotment{"a": 80, "b": 20},
 		},
 		"all callers in one": {
-			[]Demand{{Router: "e", Requests: 99, DataCentre: "east"}, {Router: "w", Requests: 0, DataCentre: "west"}}, Places{"a": 99, "b": 96},
+			[]Demand{{Router: "e", Requests: 99, DataCentre: "east"}, {Router: "w", Requests: 0, DataCentre: "west"}}, Allotment{"a": 99, "b": 96},
 		},
 		"no router near": {
-			[]Demand{{Router: "e", Requests: 9, DataCentre: "east"}}, Places{"a": 100, "b": 100},
+			[]Demand{{Router: "e", Requests: 9, DataCentre: "east"}}, Allotment{"a": 100, "b": 100},
 		},
 	}
 	for name, c := range cases {
@@ -106,7 +106,7 @@
 		}
 		running := map[string]int{}
 		allotter := NewAllotter()
-		outstanding := map[int]Places{}
+		outstanding := map[int]Allotment{}
 		for round := range 60 {
 			now := begin.Add(time.Duration(round) * 70 * time.Millisecond)
 			g := Group{Open: true}
@@ -118,9 +118,9 @@
 				g.Ranks = append(g.Ranks, l)
 				running[c.Address] -= min(running[c.Address], r.IntN(2+i%2)) // some answers end
 			}
-			var places map[string]Places
+			var places map[string]Allotment
 			if allot {
-				before := Places{}
+				before := Allotment{}
 				demands := make([]Demand, routers)
 				for k := range routers {
 					demands[k] = Demand{Router: fmt.Sprint(k), Requests: 5}
@@ -186,7 +186,7 @@
 			for i, pace := range tc.paces {
 				ranks = append(ranks, RankLoad{Address: string(rune('a' + i)), Pace: pace})
 			}
-			places := NewAllotter().Allot(ranks, Bounds{Rank: 2, Mean: 2}, Places{}, []Demand{{Router: "r", Requests: 9}}, nil)["r"]
+			places := NewAllotter().Allot(ranks, Bounds{Rank: 2, Mean: 2}, Allotment{}, []Demand{{Router: "r", Requests: 9}}, nil)["r"]
 			for i, r := range ranks {
 				if places[r.Address] != tc.want[i] {
 					t.Errorf("rank %d gets %d places, want %d", i, places[r.Address], tc.want[i])
@@ -196,20 +196,20 @@
 	}
 }
 
-// TestAllotMost checks that routers get no allotments at ranks to which they may not send, and that
-// this capacity goes to other routers.
-func TestAllotMost(t *testing.T) {
+// TestAllotLimits checks that routers get no allotments at ranks to which they may not send, and
+// that this capacity goes to other routers.
+func TestAllotLimits(t *testing.T) {
 	ranks := []RankLoad{{Address: "a"}, {Address: "b", Running: 2}}
 	cases := map[string]struct {
 		demands []Demand
-		want    map[string]Places
+		want    map[string]Allotment
 	}{
-		"no bound":                  {[]Demand{{Router: "r"}}, map[string]Places{"r": {"a": 4, "b": 2}}},
-		"nothing at the emptier":    {[]Demand{{Router: "r", Most: Most{"a": 0}}}, map[string]Places{"r": {"b": 3}}},
-		"one at the emptier":        {[]Demand{{Router: "r", Most: Most{"a": 1}}}, map[string]Places{"r": {"a": 1, "b": 3}}},
-		"nothing for one of two":    {[]Demand{{Router: "r", Most: Most{"a": 0}}, {Router: "s"}}, map[string]Places{"r": {"b": 1}, "s": {"a": 4, "b": 1}}},
-		"nothing for both":          {[]Demand{{Router: "r", Most: Most{"a": 0, "b": 0}}, {Router: "s", Most: Most{"a": 0, "b": 0}}}, map[string]Places{"r": {}, "s": {}}},
-		"one each for both of them": {[]Demand{{Router: "r", Most: Most{"a": 1, "b": 0}}, {Router: "s", Most: Most{"a": 1, "b": 0}}}, map[string]Places{"r": {"a": 1}, "s": {"a": 1}}},
+		"no bound":                  {[]Demand{{Router: "r"}}, map[string]Allotment{"r": {"a": 4, "b": 2}}},
+		"nothing at the emptier":    {[]Demand{{Router: "r", Most: SendLimits{"a": 0}}}, map[string]Allotment{"r": {"b": 3}}},
+		"one at the emptier":        {[]Demand{{Router: "r", Most: SendLimits{"a": 1}}}, map[string]Allotment{"r": {"a": 1, "b": 3}}},
+		"nothing for one of two":    {[]Demand{{Router: "r", Most: SendLimits{"a": 0}}, {Router: "s"}}, map[string]Allotment{"r": {"b": 1}, "s": {"a": 4, "b": 1}}},
+		"nothing for both":          {[]Demand{{Router: "r", Most: SendLimits{"a": 0, "b": 0}}, {Router: "s", Most: SendLimits{"a": 0, "b": 0}}}, map[string]Allotment{"r": {}, "s": {}}},
+		"one each for both of them": {[]Demand{{Router: "r", Most: SendLimits{"a": 1, "b": 0}}, {Router: "s", Most: SendLimits{"a": 1, "b": 0}}}, map[string]Allotment{"r": {"a": 1}, "s": {"a": 1}}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/services/balance/report.go
+++ b/services/balance/report.go
@@ -65,9 +65,9 @@
 	Resting []int
 }
 
-// Want is a router's request for the load of a group. The router gets reports from then on, until
-// it is idle.
-type Want struct {
+// LoadRequest is a router's request for the load of a group. The router gets reports from then on,
+// until it is idle.
+type LoadRequest struct {
 	Router peer.Info
 	// List is the number of the rank list that the router has. Unstarted and Wanted are as in
 	// ReportReply.
@@ -154,7 +154,7 @@
 }
 
 // PackMost returns limits by the positions of ranks in the list.
-func (l RankList) PackMost(m Most) map[int]uint {
+func (l RankList) PackMost(m SendLimits) map[int]uint {
 	if len(m) == 0 {
 		return nil
 	}
@@ -167,9 +167,9 @@
 	return out
 }
 
-// UnpackMost returns limits by rank address. Positions outside the list are dropped.
-func (l RankList) UnpackMost(m map[int]uint) Most {
-	out := Most{}
+// UnpackLimits returns limits by rank address. Positions outside the list are dropped.
+func (l RankList) UnpackLimits(m map[int]uint) SendLimits {
+	out := SendLimits{}
 	for i, most := range m {
 		if i >= 0 && i < len(l.Addresses) {
 			out[l.Addresses[i]] = int(most)
@@ -191,9 +191,9 @@
 
 // UnpackRanks returns the addresses of ranks by their positions. Positions outside the list are
 // dropped.
-func (l RankList) UnpackRanks(places []int) []string {
+func (l RankList) UnpackRanks(positions []int) []string {
 	var out []string
-	for _, i := range places {
+	for _, i := range positions {
 		if i >= 0 && i < len(l.Addresses) {
 			out = append(out, l.Addresses[i])
 		}
--- a/services/balance/report_test.go
+++ b/services/balance/report_test.go
@@ -22,9 +22,9 @@
 		t.Fatalf("list %d, then %d for the same ranks; want 8 and 8", list.Number, same.Number)
 	}
 	allotted := g
-	allotted.Places = Places{"b": 2}
+	allotted.Places = Allotment{"b": 2}
 	none := g
-	none.Places = Places{}
+	none.Places = Allotment{}
 	cases := map[string]struct {
 		group Group
 		// has is the router's list before the report.
@@ -79,7 +79,7 @@
 
 // TestReportSize limits the size of a report of a large group to a router that has the list.
 func TestReportSize(t *testing.T) {
-	g := Group{Service: "chat", ID: "group-0", Open: true, Whole: true, Skew: 1.2, Places: Places{}}
+	g := Group{Service: "chat", ID: "group-0", Open: true, Whole: true, Skew: 1.2, Places: Allotment{}}
 	for i := range 64 {
 		address := fmt.Sprintf("10.20.30.%d:8000", i)
 		g.Ranks = append(g.Ranks, RankLoad{Address: address, Running: 10, Waiting: 2, Unstarted: 1, Pace: 1})
@@ -122,13 +122,13 @@
 func TestPackMost(t *testing.T) {
 	list := RankList{Number: 1, Addresses: []string{"a", "b", "c"}}
 	cases := map[string]struct {
-		most Most
+		most SendLimits
 		sent map[int]uint
-		want Most
+		want SendLimits
 	}{
-		"none":                  {nil, nil, Most{}},
-		"some":                  {Most{"a": 0, "c": 2}, map[int]uint{0: 0, 2: 2}, Most{"a": 0, "c": 2}},
-		"of a rank that is not": {Most{"z": 1}, map[int]uint{}, Most{}},
+		"none":                  {nil, nil, SendLimits{}},
+		"some":                  {SendLimits{"a": 0, "c": 2}, map[int]uint{0: 0, 2: 2}, SendLimits{"a": 0, "c": 2}},
+		"of a rank that is not": {SendLimits{"z": 1}, map[int]uint{}, SendLimits{}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -136,12 +136,12 @@
 			if fmt.Sprint(sent) != fmt.Sprint(c.sent) {
 				t.Errorf("sent %v, want %v", sent, c.sent)
 			}
-			if got := list.UnpackMost(sent); !reflect.DeepEqual(got, c.want) {
+			if got := list.UnpackLimits(sent); !reflect.DeepEqual(got, c.want) {
 				t.Errorf("read %v, want %v", got, c.want)
 			}
 		})
 	}
-	if got := list.UnpackMost(map[int]uint{-1: 1, 3: 1}); len(got) != 0 {
+	if got := list.UnpackLimits(map[int]uint{-1: 1, 3: 1}); len(got) != 0 {
 		t.Errorf("read %v of places beyond the list", got)
 	}
 	if got := list.UnpackRanks(append(list.PackRanks([]string{"c", "z", "a"}), -1, 3)); fmt.Sprint(got) != "[c a]" {
--- a/services/condition/condition.go
+++ b/services/condition/condition.go
@@ -25,8 +25,8 @@
 	KindLeaving Kind = "leaving"
 )
 
-// News is a change of a condition caused by an answer.
-type News struct {
+// Change is a change of a condition caused by an answer.
+type Change struct {
 	// Kind is the condition that has started, has changed its values, or has ended if Ended is set.
 	Kind  Kind
 	Ended bool
--- a/services/condition/limit.go
+++ b/services/condition/limit.go
@@ -52,9 +52,9 @@
 	return l.Heard.After(o.Heard)
 }
 
-// ToldLimit is the wire form of a Limit: the clocks of processes differ, so it has ages instead of
+// WireLimit is the wire form of a Limit: the clocks of processes differ, so it has ages instead of
 // times.
-type ToldLimit struct {
+type WireLimit struct {
 	Named             bool
 	Rate              upstream.Rate
 	SentAge, HeardAge time.Duration
@@ -63,17 +63,17 @@
 }
 
 // Told returns the wire form of a limit at the given time.
-func (l Limit) Told(now time.Time) ToldLimit {
+func (l Limit) Told(now time.Time) WireLimit {
 	if !l.known() {
-		return ToldLimit{}
+		return WireLimit{}
 	}
-	return ToldLimit{Named: l.Named, Rate: l.Rate, SentAge: now.Sub(l.Sent), HeardAge: now.Sub(l.Heard), Known: true}
+	return WireLimit{Named: l.Named, Rate: l.Rate, SentAge: now.Sub(l.Sent), HeardAge: now.Sub(l.Heard), Known: true}
 }
 
 // At converts a received limit. The message was sent at the earliest at sent, and received at came.
 // The limit is older than its ages by the unknown transfer time: Sent is assumed as early and Heard
 // as late as possible.
-func (t ToldLimit) At(sent, came time.Time) Limit {
+func (t WireLimit) At(sent, came time.Time) Limit {
 	if !t.Known {
 		return Limit{}
 	}
--- a/services/condition/limit_test.go
+++ b/services/condition/limit_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestTold checks that a transferred limit does not end a newer one, however long the transfer
+// TestWireLimit checks that a transferred limit does not end a newer one, however long the transfer
 // took.
-func TestTold(t *testing.T) {
+func TestWireLimit(t *testing.T) {
 	end := limitOf(0, 100, 150).Told(at(200))
 	cases := map[string]struct {
 		limit Limit
--- a/services/condition/permits.go
+++ b/services/condition/permits.go
@@ -108,22 +108,22 @@
 	PermissionDenied Permission = "denied"
 )
 
-// Ask is a router's request for permits to send requests to a run of an upstream.
-type Ask struct {
+// PermitRequest is a router's request for permits to send requests to a run of an upstream.
+type PermitRequest struct {
 	Run upstream.Run
 	// Limit is the limit known to the router.
-	Limit ToldLimit
+	Limit WireLimit
 	// Wanted is the number of permits; with 0 the request only reports the limit.
 	Wanted int
 }
 
-// Reply is the reply to an Ask.
+// Reply is the reply to a PermitRequest.
 type Reply struct {
 	Given int
 	// Again is when the router may ask again if no permit was granted.
 	Again time.Duration
 	// Limit is the limit known to the permit grantor.
-	Limit ToldLimit
+	Limit WireLimit
 }
 
 // Choose records that a request is chosen for an upstream.
@@ -154,8 +154,8 @@
 }
 
 // Ask returns the request for permits for an upstream.
-func (g *Register) Ask(now time.Time, run upstream.Run) Ask {
-	a := Ask{Run: run}
+func (g *Register) Ask(now time.Time, run upstream.Run) PermitRequest {
+	a := PermitRequest{Run: run}
 	if r, ok := g.records[run]; ok {
 		a.Limit, a.Wanted = r.limit.Told(now), r.permits.ask(now)
 	}
@@ -164,7 +164,7 @@
 
 // Answered records the reply to a request for permits that was sent at asked. One of the permits is
 // for the request on whose behalf the router asked.
-func (g *Register) Answered(asked, now time.Time, run upstream.Run, reply Reply) (Permission, []News) {
+func (g *Register) Answered(asked, now time.Time, run upstream.Run, reply Reply) (Permission, []Change) {
 	r, ok := g.records[run]
 	if !ok {
 		return PermissionGiven, nil
--- a/services/condition/permits_test.go
+++ b/services/condition/permits_test.go
@@ -104,9 +104,9 @@
 		},
 		"another router has heard that the limit has ended": func(s state) {
 			s.Choose(at(20), run)
-			p, news := s.Answered(at(40), at(42), run, Reply{Limit: limitOf(0, 15, 30).Told(at(40))})
-			if p != PermissionGiven || len(news) != 1 || !news[0].Ended {
-				s.t.Errorf("permission %s, news %+v", p, news)
+			p, changes := s.Answered(at(40), at(42), run, Reply{Limit: limitOf(0, 15, 30).Told(at(40))})
+			if p != PermissionGiven || len(changes) != 1 || !changes[0].Ended {
+				s.t.Errorf("permission %s, changes %+v", p, changes)
 			}
 			permit(s, PermissionGiven)
 		},
--- a/services/condition/register.go
+++ b/services/condition/register.go
@@ -52,32 +52,32 @@
 
 // Note records the notice in an upstream's answer to a request that was sent at sent, and returns
 // the changes.
-func (g *Register) Note(now, sent time.Time, run upstream.Run, n upstream.Notice) []News {
+func (g *Register) Note(now, sent time.Time, run upstream.Run, n upstream.Notice) []Change {
 	if _, known := g.records[run]; !known && n == (upstream.Notice{}) {
 		return nil
 	}
 	r := g.record(run)
-	var changes []News
+	var changes []Change
 	if n.Leaving && !r.leaving {
 		r.leaving = true
-		changes = append(changes, News{Kind: KindLeaving})
+		changes = append(changes, Change{Kind: KindLeaving})
 	}
 	if until := now.Add(n.Rest); n.Rest > 0 && until.After(r.backoffUntil) {
 		r.backoffUntil = until
-		changes = append(changes, News{Kind: KindResting})
+		changes = append(changes, Change{Kind: KindResting})
 	}
 	if n.Limited || r.limit.Named && n.Unread == nil {
 		changes = append(changes, g.learn(r, Limit{Named: n.Limited, Rate: n.Limit, Sent: sent, Heard: now})...)
 	}
 	if n.Unread != nil && n.Unread.Error() != r.unread {
 		r.unread = n.Unread.Error()
-		changes = append(changes, News{Unread: n.Unread})
+		changes = append(changes, Change{Unread: n.Unread})
 	}
 	return changes
 }
 
 // learn merges a limit into the record of a run, and returns the changes.
-func (g *Register) learn(r *record, l Limit) []News {
+func (g *Register) learn(r *record, l Limit) []Change {
 	before := r.limit
 	r.limit = before.Merge(l)
 	if r.limit.Named == before.Named && r.limit.Rate == before.Rate {
@@ -89,7 +89,7 @@
 	if !r.limit.Named {
 		r.permits = permits{}
 	}
-	return []News{{Kind: KindLimited, Ended: !r.limit.Named}}
+	return []Change{{Kind: KindLimited, Ended: !r.limit.Named}}
 }
 
 // Empty reports whether no upstream has a record.
@@ -147,7 +147,7 @@
 }
 
 // Learn records the limit of an upstream that another router knows, and returns the changes.
-func (g *Register) Learn(run upstream.Run, l Limit) []News {
+func (g *Register) Learn(run upstream.Run, l Limit) []Change {
 	if _, known := g.records[run]; !known && !l.Named {
 		return nil // an unknown limit cannot end
 	}
--- a/services/condition/register_test.go
+++ b/services/condition/register_test.go
@@ -12,42 +12,42 @@
 	"fawnwinch.org/fawnwinch/models/upstream"
 )
 
-// TestNews checks which statements of an upstream are returned as changes: each once, however often
-// it is repeated.
-func TestNews(t *testing.T) {
+// TestChanges checks which statements of an upstream are returned as changes: each once, however
+// often it is repeated.
+func TestChanges(t *testing.T) {
 	limit := func(r upstream.Rate) upstream.Notice { return upstream.Notice{Limited: true, Limit: r} }
 	unread := upstream.Notice{Unread: errors.New("bad")}
 	cases := map[string]struct {
 		said []upstream.Notice
-		want []News
+		want []Change
 	}{
 		"nothing":                            {[]upstream.Notice{{}, {}}, nil},
-		"a limit":                            {[]upstream.Notice{limit(1), limit(1)}, []News{{Kind: KindLimited}}},
-		"a limit that changes":               {[]upstream.Notice{limit(1), limit(1.1)}, []News{{Kind: KindLimited}, {Kind: KindLimited}}},
-		"a limit that ends":                  {[]upstream.Notice{limit(1), {}, {}}, []News{{Kind: KindLimited}, {Kind: KindLimited, Ended: true}}},
-		"a limit that cannot be read stays":  {[]upstream.Notice{limit(1), unread, limit(1)}, []News{{Kind: KindLimited}, {Unread: unread.Unread}}},
-		"rest, each time":                    {[]upstream.Notice{{Rest: 1}, {Rest: 1}}, []News{{Kind: KindResting}, {Kind: KindResting}}},
-		"leaving":                            {[]upstream.Notice{{Leaving: true}, {}, {Leaving: true}}, []News{{Kind: KindLeaving}}},
-		"the same that cannot be read again": {[]upstream.Notice{unread, unread}, []News{{Unread: unread.Unread}}},
+		"a limit":                            {[]upstream.Notice{limit(1), limit(1)}, []Change{{Kind: KindLimited}}},
+		"a limit that changes":               {[]upstream.Notice{limit(1), limit(1.1)}, []Change{{Kind: KindLimited}, {Kind: KindLimited}}},
+		"a limit that ends":                  {[]upstream.Notice{limit(1), {}, {}}, []Change{{Kind: KindLimited}, {Kind: KindLimited, Ended: true}}},
+		"a limit that cannot be read stays":  {[]upstream.Notice{limit(1), unread, limit(1)}, []Change{{Kind: KindLimited}, {Unread: unread.Unread}}},
+		"rest, each time":                    {[]upstream.Notice{{Rest: 1}, {Rest: 1}}, []Change{{Kind: KindResting}, {Kind: KindResting}}},
+		"leaving":                            {[]upstream.Notice{{Leaving: true}, {}, {Leaving: true}}, []Change{{Kind: KindLeaving}}},
+		"the same that cannot be read again": {[]upstream.Notice{unread, unread}, []Change{{Unread: unread.Unread}}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			g, now := NewRegister(), time.Unix(1000, 0)
-			var got []News
+			var got []Change
 			for _, n := range c.said {
 				now = now.Add(time.Second)
 				got = append(got, g.Note(now, now, upstream.Run{ID: "u"}, n)...)
 			}
 			if !slices.Equal(got, c.want) {
-				t.Errorf("news %+v, want %+v", got, c.want)
+				t.Errorf("changes %+v, want %+v", got, c.want)
 			}
 		})
 	}
 }
 
-// TestKeptUnlisted checks that the record of an upstream outlives an outage of the store, in which
-// entries disappear and come back, but is dropped long after the upstream has gone.
-func TestKeptUnlisted(t *testing.T) {
+// TestUnlistedRetention checks that the record of an upstream outlives an outage of the store, in
+// which entries disappear and come back, but is dropped long after the upstream has gone.
+func TestUnlistedRetention(t *testing.T) {
 	run, now := upstream.Run{ID: "u"}, time.Unix(1000, 0)
 	g := NewRegister()
 	g.Note(now, now, run, upstream.Notice{Leaving: true})
--- a/services/election/election_test.go
+++ b/services/election/election_test.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestHearsay checks that a lead relayed by other agents has the age that it had there, and that no
-// agent follows a coordinator that has ended.
-func TestHearsay(t *testing.T) {
+// TestRelayedLead checks that a lead relayed by other agents has the age that it had there, and
+// that no agent follows a coordinator that has ended.
+func TestRelayedLead(t *testing.T) {
 	l := Lead{Group: "g", Authority: 3, Lease: time.Second}
 	c := New(begin)
 	c.SetRank(begin, "g", 0, 12)
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestGroups checks that leads of another group are ignored, as are all leads before the agent's
-// own group is known.
-func TestGroups(t *testing.T) {
+// TestForeignGroups checks that leads of another group are ignored, as are all leads before the
+// agent's own group is known.
+func TestForeignGroups(t *testing.T) {
 	c := New(begin)
 	if c.Receive(begin, Lead{Group: "a", Authority: 9}) || c.Highest() != 0 {
 		t.Error("a coordinator was heard before the group was known")
--- a/services/entry/coverage_test.go
+++ b/services/entry/coverage_test.go
@@ -37,7 +37,7 @@
 func knowGroups(now time.Time, rl *relay.Relay, groups ...group.ID) {
 	rl.Know(func(s *knowledge.State) {
 		c := catalog.Catalog{Version: 1, Services: []catalog.Service{{ID: "m", Engine: &catalog.Engine{Slots: 4}}, {ID: "plain"}}}
-		s.TakeCatalogs(time.Now(), knowledge.Part[catalog.Catalog]{Whole: true, Next: place(1), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
+		s.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(1), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
 		var ups []services.Change[upstream.Instance]
 		for _, g := range groups {
 			for _, address := range ranksOf(g) {
@@ -45,7 +45,7 @@
 				ups = append(ups, services.Change[upstream.Instance]{Key: address, Value: &u})
 			}
 		}
-		s.TakeUpstreams(now, knowledge.Part[upstream.Instance]{Whole: true, Next: place(1), AsOf: now, Changes: ups})
+		s.ApplyUpstreams(now, knowledge.Segment[upstream.Instance]{Whole: true, Next: place(1), AsOf: now, Changes: ups})
 	})
 }
 
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestNoteCoverage checks when a router logs unreported ranks: after a delay, at long intervals,
+// TestLogCoverage checks when a router logs unreported ranks: after a delay, at long intervals,
 // and once when they are reported again.
-func TestNoteCoverage(t *testing.T) {
+func TestLogCoverage(t *testing.T) {
 	var logs bytes.Buffer
 	rl := quietRelay()
 	defer rl.Close()
@@ -132,7 +132,7 @@
 }
 
 // Report returns the load of the group.
-func (c *coordinatorOf) Report(_ balance.Want, r *balance.Report) error {
+func (c *coordinatorOf) Report(_ balance.LoadRequest, r *balance.Report) error {
 	c.asked.Add(1)
 	*r = reportOf(c.group, 1, c.address)
 	return nil
@@ -154,12 +154,12 @@
 	return c
 }
 
-// TestSeekEachGroup checks that a router searches for the coordinator of each group. It guards
+// TestSearchEachGroup checks that a router searches for the coordinator of each group. It guards
 // against a search per service that ends with the first reported group: the ranks of the other
 // groups then stayed unreported and got requests as if they were idle (`ranks-unreported
 // unreported=24 listed=72 groups_known=2 groups_told=2`). The reported group need not be asked
 // again.
-func TestSeekEachGroup(t *testing.T) {
+func TestSearchEachGroup(t *testing.T) {
 	a, ra, address := router(t, "a")
 	b, rb, _ := router(t, "b", address)
 	now := time.Now()
--- a/services/entry/entry.go
+++ b/services/entry/entry.go
@@ -116,7 +116,7 @@
 	r.setBounds(o.Bounds)
 	o.Relay.OnUnreported(r.requestSearch)
 	o.Relay.OnCrash(r.triggerGossip)
-	o.Relay.Share(r)
+	o.Relay.SetPermits(r)
 	return r
 }
 
@@ -309,7 +309,7 @@
 // acceptingRouters returns the routers that accept callers. This router is excluded while its
 // catalog is too old to accept keys.
 func (r *Router) acceptingRouters(now time.Time) []peer.Info {
-	fresh := r.opts.Relay.LetsIn(now)
+	fresh := r.opts.Relay.AcceptsKeys(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []peer.Info
--- a/services/entry/entry_test.go
+++ b/services/entry/entry_test.go
@@ -97,7 +97,7 @@
 		mark:     func() knowledge.Watermark { return mark },
 		isReader: func(time.Time) bool { return true },
 		era:      func() services.Era { return 0 },
-		apply: func(p knowledge.Part[int]) knowledge.Fit {
+		apply: func(p knowledge.Segment[int]) knowledge.Fit {
 			name := ""
 			for _, c := range p.Changes {
 				name += c.Key
@@ -127,15 +127,15 @@
 	}
 }
 
-// TestOthersRead checks that a router that is not the reader does not read the store while others
+// TestNonReader checks that a router that is not the reader does not read the store while others
 // send it updates. It pulls from those that are ahead, and reads by itself when they do not answer
 // for a while.
-func TestOthersRead(t *testing.T) {
+func TestNonReader(t *testing.T) {
 	s := &script[int]{reads: make(chan read[int])}
 	ctx, cancel := context.WithCancel(t.Context())
 	var mu sync.Mutex
 	mark := knowledge.Watermark{Next: place(4), AsOf: time.Now().Add(time.Hour)}
-	taken := make(chan knowledge.Part[int], 1)
+	taken := make(chan knowledge.Segment[int], 1)
 	answers := make(chan error)
 	f := &follower[int]{
 		feed: s, wake: make(chan struct{}, 1), ahead: make(chan string, 1), times: watch.NewTimes(2 * time.Second),
@@ -149,7 +149,7 @@
 			defer mu.Unlock()
 			return mark
 		},
-		apply: func(p knowledge.Part[int]) knowledge.Fit {
+		apply: func(p knowledge.Segment[int]) knowledge.Fit {
 			mu.Lock()
 			defer mu.Unlock()
 			if mark.Next.Before(p.From) {
@@ -159,8 +159,8 @@
 			taken <- p
 			return knowledge.FitNew
 		},
-		pull: func(context.Context, string) (knowledge.Part[int], error) {
-			return knowledge.Part[int]{From: place(4), Next: place(5)}, <-answers
+		pull: func(context.Context, string) (knowledge.Segment[int], error) {
+			return knowledge.Segment[int]{From: place(4), Next: place(5)}, <-answers
 		},
 	}
 	done := make(chan struct{})
@@ -276,9 +276,9 @@
 	}
 }
 
-// TestBorrow starts a router while the store is unavailable: it pulls catalog and upstreams with
-// their age from another router, becomes ready, and is listed for callers until it leaves.
-func TestBorrow(t *testing.T) {
+// TestPullFromPeer starts a router while the store is unavailable: it pulls catalog and upstreams
+// with their age from another router, becomes ready, and is listed for callers until it leaves.
+func TestPullFromPeer(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("routers", func(t *testing.T) {
 		a, ra, address := router(t, "a")
@@ -286,8 +286,8 @@
 		u := upstream.Instance{ID: "u", Service: "s", State: upstream.StateReady}
 		ra.Know(func(s *knowledge.State) {
 			c := catalog.Catalog{Version: 7, Services: []catalog.Service{{ID: "s"}}, Accounts: []catalog.Account{{ID: "x", Keys: []catalog.Key{"k"}}}}
-			s.TakeCatalogs(time.Now(), knowledge.Part[catalog.Catalog]{Whole: true, Next: place(5), AsOf: old, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
-			s.TakeUpstreams(old, knowledge.Part[upstream.Instance]{Whole: true, Next: place(9), AsOf: old, Changes: []services.Change[upstream.Instance]{{Key: "u", Value: &u}}})
+			s.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(5), AsOf: old, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
+			s.ApplyUpstreams(old, knowledge.Segment[upstream.Instance]{Whole: true, Next: place(9), AsOf: old, Changes: []services.Change[upstream.Instance]{{Key: "u", Value: &u}}})
 		})
 		a.becomeReady()
 		b, rb, _ := router(t, "b", address)
@@ -347,9 +347,9 @@
 	return nil
 }
 
-// TestKeepRefused checks that refused requests are stored for as long as they are refused, and
+// TestStoreRefused checks that refused requests are stored for as long as they are refused, and
 // known to a restarted router.
-func TestKeepRefused(t *testing.T) {
+func TestStoreRefused(t *testing.T) {
 	store := &refusedStore{entries: map[string]quarantine.Entry{}}
 	start := func() (*Router, *registry) {
 		return New(Options{Self: peer.Info{Name: "a"}, Store: store, Relay: quietRelay(), Logger: zerolog.Nop()}), &registry{}
@@ -363,7 +363,7 @@
 	k := quarantine.Key{Account: "x", Digest: 1}
 	r, known := start()
 	keep(r, known, 0)
-	r.opts.Relay.Crashes(func(g *quarantine.Register) {
+	r.opts.Relay.WithCrashes(func(g *quarantine.Register) {
 		for i, id := range []upstream.ID{"a", "b", "c"} {
 			g.Add(time.Now(), quarantine.Crash{Key: k, Run: upstream.Run{ID: id}, Age: time.Duration(3-i) * time.Second})
 		}
@@ -371,16 +371,16 @@
 	keep(r, known, 1)
 	r, known = start()
 	keep(r, known, 1)
-	if got := r.opts.Relay.Refused(time.Now()); got != 1 {
+	if got := r.opts.Relay.RefusedCount(time.Now()); got != 1 {
 		t.Errorf("%d requests are refused after a start, want 1", got)
 	}
-	r.opts.Relay.Crashes(func(g *quarantine.Register) { g.Ran(time.Now(), k, quarantine.Finished) })
+	r.opts.Relay.WithCrashes(func(g *quarantine.Register) { g.Ran(time.Now(), k, quarantine.Finished) })
 	keep(r, known, 0)
 }
 
-// TestKeepRefusedAfterReturn restores the store from a copy: entries stored since the copy are
+// TestStoreRefusedAfterRestore restores the store from a copy: entries stored since the copy are
 // stored again, and entries dropped since are dropped again and not refused.
-func TestKeepRefusedAfterReturn(t *testing.T) {
+func TestStoreRefusedAfterRestore(t *testing.T) {
 	store := &refusedStore{entries: map[string]quarantine.Entry{}, era: 1}
 	r := New(Options{Self: peer.Info{Name: "a"}, Store: store, Relay: quietRelay(), Logger: zerolog.Nop()})
 	var known registry
@@ -391,7 +391,7 @@
 		}
 	}
 	crash := func(k quarantine.Key) {
-		r.opts.Relay.Crashes(func(g *quarantine.Register) {
+		r.opts.Relay.WithCrashes(func(g *quarantine.Register) {
 			for i, id := range []upstream.ID{"a", "b", "c"} {
 				g.Add(time.Now(), quarantine.Crash{Key: k, Run: upstream.Run{ID: id}, Age: time.Duration(3-i) * time.Second})
 			}
@@ -401,7 +401,7 @@
 	crash(one)
 	keep("one is refused", 1)
 	first := maps.Clone(store.entries)
-	r.opts.Relay.Crashes(func(g *quarantine.Register) { g.Ran(time.Now(), one, quarantine.Finished) })
+	r.opts.Relay.WithCrashes(func(g *quarantine.Register) { g.Ran(time.Now(), one, quarantine.Finished) })
 	crash(two)
 	keep("another one is", 1)
 	second := maps.Clone(store.entries)
@@ -410,7 +410,7 @@
 	if !maps.EqualFunc(store.entries, second, func(a, b quarantine.Entry) bool { return a.Key == b.Key }) {
 		t.Errorf("kept after the return: %v", store.entries)
 	}
-	if got := r.opts.Relay.Refused(time.Now()); got != 1 {
+	if got := r.opts.Relay.RefusedCount(time.Now()); got != 1 {
 		t.Errorf("%d requests are refused after the return, want 1", got)
 	}
 	store.entries, store.era = map[string]quarantine.Entry{}, 3
--- a/services/entry/follow.go
+++ b/services/entry/follow.go
@@ -42,14 +42,14 @@
 	// returns that of the catalog in force; nil for other feeds.
 	mark    func() knowledge.Watermark
 	version func() catalog.Version
-	apply   func(p knowledge.Part[T]) knowledge.Fit
+	apply   func(p knowledge.Segment[T]) knowledge.Fit
 	// era returns the newest era of the store that is known here.
 	era func() services.Era
 	// proofFrom returns the time from which reads can confirm again that nothing newer was
 	// accepted, and whether that confirmation is still missing; nil for feeds without confirmation.
 	proofFrom func() (from time.Time, ok bool)
 	// pull pulls the missing segment from the router at an address.
-	pull func(ctx context.Context, address string) (knowledge.Part[T], error)
+	pull func(ctx context.Context, address string) (knowledge.Segment[T], error)
 	// isReader reports whether this router is the reader of the feed.
 	isReader func(now time.Time) bool
 	// notify notifies the other routers that this one has advanced.
@@ -180,7 +180,7 @@
 	f.mu.Lock()
 	whole := !mark.Known() || f.trimmed || f.furthest.next.Era > mark.Next.Era
 	f.mu.Unlock()
-	p := knowledge.Part[T]{Whole: whole, From: mark.Next, AsOf: clock.Now()}
+	p := knowledge.Segment[T]{Whole: whole, From: mark.Next, AsOf: clock.Now()}
 	var err error
 	if whole {
 		p.Changes, p.Next, err = f.feed.Snapshot(ctx)
@@ -236,7 +236,7 @@
 }
 
 // advance applies a segment of the feed, and notifies other routers if the position has advanced.
-func (f *follower[T]) advance(p knowledge.Part[T]) knowledge.Fit {
+func (f *follower[T]) advance(p knowledge.Segment[T]) knowledge.Fit {
 	before := f.mark()
 	fit := f.apply(p)
 	after := f.progress()
@@ -260,7 +260,7 @@
 	if !theirs.Known {
 		return
 	}
-	f.apply(knowledge.Part[T]{From: theirs.position(), Next: theirs.position(), AsOf: theirs.asOf(sent), Vouch: theirs.confirmation(sent)})
+	f.apply(knowledge.Segment[T]{From: theirs.position(), Next: theirs.position(), AsOf: theirs.asOf(sent), Vouch: theirs.confirmation(sent)})
 	f.pullIfAhead(address, theirs)
 }
 
--- a/services/entry/greet.go
+++ b/services/entry/greet.go
@@ -88,7 +88,7 @@
 	targets := r.table.Targets(now, rand.IntN)
 	targets = append(targets, r.discoveryTargets(r.table.NoContact(now))...)
 	r.mu.Unlock()
-	r.opts.Relay.Routers(max(1, len(routersForAll(r.acceptingRouters(now)))))
+	r.opts.Relay.SetRouters(max(1, len(routersForAll(r.acceptingRouters(now)))))
 	for _, to := range targets {
 		if to.Address != r.opts.Self.Address && r.beginExchange(to.Address) {
 			w.Go(func() {
--- a/services/entry/hearsay.go
+++ b/services/entry/hearsay.go
@@ -38,7 +38,7 @@
 func (a *API) Hearsay(since Watermarks, reply *GossipedState) error {
 	now := clock.Now()
 	reply.Marks = a.r.watermarks()
-	a.r.opts.Relay.Crashes(func(g *quarantine.Register) { reply.Crashes = g.Since(now, since.Crashes) })
+	a.r.opts.Relay.WithCrashes(func(g *quarantine.Register) { reply.Crashes = g.Since(now, since.Crashes) })
 	if since.Limits != reply.Marks.Limits {
 		reply.Limits = a.r.opts.Relay.Limits(now)
 	}
@@ -47,8 +47,8 @@
 
 // watermarks returns the watermarks of this router.
 func (r *Router) watermarks() Watermarks {
-	m := Watermarks{Limits: r.opts.Relay.LimitMark()}
-	r.opts.Relay.Crashes(func(g *quarantine.Register) { m.Crashes = g.Mark() })
+	m := Watermarks{Limits: r.opts.Relay.LimitWatermark()}
+	r.opts.Relay.WithCrashes(func(g *quarantine.Register) { m.Crashes = g.Mark() })
 	return m
 }
 
@@ -92,7 +92,7 @@
 		r.opts.Logger.Warn().Str("from", address).Err(err).Msg("gossip-pull-failed")
 		return
 	}
-	r.opts.Relay.LearnLimits(asked, h.Limits)
+	r.opts.Relay.MergeLimits(asked, h.Limits)
 	r.mergeCrashes(address, h.Crashes)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +106,7 @@
 // if any was new.
 func (r *Router) mergeCrashes(from string, crashes []quarantine.Crash) {
 	now, added := clock.Now(), 0
-	r.opts.Relay.Crashes(func(g *quarantine.Register) {
+	r.opts.Relay.WithCrashes(func(g *quarantine.Register) {
 		for _, c := range crashes {
 			if g.Add(now, c) {
 				added++
@@ -114,7 +114,7 @@
 		}
 	})
 	if added > 0 {
-		r.opts.Logger.Info().Str("from", from).Int("told", len(crashes)).Int("news", added).Int("refused", r.opts.Relay.Refused(now)).Msg("crashes-told")
+		r.opts.Logger.Info().Str("from", from).Int("told", len(crashes)).Int("news", added).Int("refused", r.opts.Relay.RefusedCount(now)).Msg("crashes-told")
 		r.triggerGossip()
 	}
 }
--- a/services/entry/named_test.go
+++ b/services/entry/named_test.go
@@ -27,9 +27,9 @@
 	return out
 }
 
-// TestNamed checks which routers callers get: a few of their data centre, large ones first, and
-// more while those are busy.
-func TestNamed(t *testing.T) {
+// TestRoutersFor checks which routers callers get: a few of their data centre, large ones first,
+// and more while those are busy.
+func TestRoutersFor(t *testing.T) {
 	busy := func(rs []peer.Info, n int) []peer.Info {
 		for i := range n {
 			rs[i].Busy = true
@@ -67,8 +67,9 @@
 	}
 }
 
-// TestNamedStays checks that the loss of one router replaces only that one in the list for callers.
-func TestNamedStays(t *testing.T) {
+// TestRoutersForStable checks that the loss of one router replaces only that one in the list for
+// callers.
+func TestRoutersForStable(t *testing.T) {
 	all := fleet(5, 30, 0)
 	before := routersFor(all, "dc-2")
 	for _, lost := range before {
--- a/services/entry/news.go
+++ b/services/entry/news.go
@@ -16,7 +16,7 @@
 )
 
 // pullCatalogs pulls the newest catalog from another router.
-func (r *Router) pullCatalogs(ctx context.Context, address string) (knowledge.Part[catalog.Catalog], error) {
+func (r *Router) pullCatalogs(ctx context.Context, address string) (knowledge.Segment[catalog.Catalog], error) {
 	var base *catalog.Catalog
 	var known DeltaRequest
 	r.opts.Relay.Know(func(s *knowledge.State) {
@@ -27,7 +27,7 @@
 	})
 	asked := clock.Now()
 	var n CatalogDelta
-	p := knowledge.Part[catalog.Catalog]{Whole: true}
+	p := knowledge.Segment[catalog.Catalog]{Whole: true}
 	if err := r.opts.Pool.Call(ctx, address, "Router.Catalogs", known, &n); err != nil {
 		return p, fmt.Errorf("pull catalogs: %w", err)
 	}
@@ -47,17 +47,17 @@
 }
 
 // pullUpstreams pulls the upstreams from another router.
-func (r *Router) pullUpstreams(ctx context.Context, address string) (knowledge.Part[upstream.Instance], error) {
+func (r *Router) pullUpstreams(ctx context.Context, address string) (knowledge.Segment[upstream.Instance], error) {
 	mark := r.upstreams.mark()
 	asked := clock.Now()
 	var n UpstreamDelta
 	if err := r.opts.Pool.Call(ctx, address, "Router.Upstreams", deltaRequest(mark), &n); err != nil {
-		return knowledge.Part[upstream.Instance]{}, fmt.Errorf("pull upstreams: %w", err)
+		return knowledge.Segment[upstream.Instance]{}, fmt.Errorf("pull upstreams: %w", err)
 	}
-	return knowledge.Part[upstream.Instance]{Whole: n.Whole, From: mark.Next, Next: n.Extent.position(), AsOf: n.Extent.asOf(asked), Changes: n.changes()}, nil
+	return knowledge.Segment[upstream.Instance]{Whole: n.Whole, From: mark.Next, Next: n.Extent.position(), AsOf: n.Extent.asOf(asked), Changes: n.changes()}, nil
 }
 
-func (r *Router) applyCatalogs(p knowledge.Part[catalog.Catalog]) knowledge.Fit {
+func (r *Router) applyCatalogs(p knowledge.Segment[catalog.Catalog]) knowledge.Fit {
 	var fit knowledge.Fit
 	var before, after *catalog.Index
 	var since time.Time
@@ -66,7 +66,7 @@
 	r.opts.Relay.Know(func(s *knowledge.State) {
 		before = s.Index()
 		_, pending = s.RewritePending()
-		fit = s.TakeCatalogs(now, p)
+		fit = s.ApplyCatalogs(now, p)
 		since, stillPending = s.RewritePending()
 		after = s.Index()
 	})
@@ -82,9 +82,9 @@
 	return fit
 }
 
-func (r *Router) applyUpstreams(p knowledge.Part[upstream.Instance]) knowledge.Fit {
+func (r *Router) applyUpstreams(p knowledge.Segment[upstream.Instance]) knowledge.Fit {
 	var fit knowledge.Fit
-	r.opts.Relay.Know(func(s *knowledge.State) { fit = s.TakeUpstreams(clock.Now(), p) })
+	r.opts.Relay.Know(func(s *knowledge.State) { fit = s.ApplyUpstreams(clock.Now(), p) })
 	if fit == knowledge.FitNew {
 		r.firstEra(p.Next.Era)
 		r.noteUpstreams(p)
@@ -98,7 +98,7 @@
 const maxLoggedChanges = 8
 
 // noteUpstreams logs changes of upstreams: each of them, or only their counts if there are many.
-func (r *Router) noteUpstreams(p knowledge.Part[upstream.Instance]) {
+func (r *Router) noteUpstreams(p knowledge.Segment[upstream.Instance]) {
 	age := clock.Since(p.AsOf).Milliseconds()
 	if len(p.Changes) > maxLoggedChanges {
 		counts := map[upstream.State]int{}
--- a/services/entry/permits.go
+++ b/services/entry/permits.go
@@ -20,7 +20,7 @@
 // feedPermits is the prefix of the names by which the permit grantor of an upstream is chosen.
 const feedPermits = "permits/"
 
-var _ services.Permits = (*Router)(nil)
+var _ services.PermitGrantor = (*Router)(nil)
 
 // grantor returns the router that grants the permits for an upstream, and whether it is this one.
 func (r *Router) grantor(now time.Time, run upstream.Run) (name, address string, self bool) {
@@ -30,8 +30,9 @@
 	return name, r.table.Address(name), name == r.table.Self().Name
 }
 
-// Ask implements services.Permits: it requests permits from the grantor of an upstream.
-func (r *Router) Ask(ctx context.Context, now time.Time, ask condition.Ask) (condition.Reply, error) {
+// RequestPermits implements services.PermitGrantor: it requests permits from the grantor of an
+// upstream.
+func (r *Router) RequestPermits(ctx context.Context, now time.Time, ask condition.PermitRequest) (condition.Reply, error) {
 	name, address, self := r.grantor(now, ask.Run)
 	if self {
 		return r.ledger.Give(now, ask), nil
@@ -47,7 +48,7 @@
 }
 
 // Permit grants permits to another router.
-func (a *API) Permit(ask condition.Ask, reply *condition.Reply) error {
+func (a *API) Permit(ask condition.PermitRequest, reply *condition.Reply) error {
 	now := clock.Now()
 	if _, _, self := a.r.grantor(now, ask.Run); !self {
 		*reply = quota.Denied()
--- a/services/entry/permits_test.go
+++ b/services/entry/permits_test.go
@@ -19,7 +19,7 @@
 // limitOf returns a recent notice of an upstream's rate limit; a rate of 0 means that the limit has
 // ended.
 func limitOf(run upstream.Run, rate upstream.Rate) relay.NamedLimit {
-	return relay.NamedLimit{Service: "plain", Run: run, Limit: condition.ToldLimit{Known: true, Named: rate > 0, Rate: rate}}
+	return relay.NamedLimit{Service: "plain", Run: run, Limit: condition.WireLimit{Known: true, Named: rate > 0, Rate: rate}}
 }
 
 // knows reports whether a router knows a limit of an upstream.
@@ -32,16 +32,16 @@
 	return false
 }
 
-// TestLimitsTold checks that rate limits of upstreams, and their end, spread to all routers,
+// TestLimitsSpread checks that rate limits of upstreams, and their end, spread to all routers,
 // including one that starts later.
-func TestLimitsTold(t *testing.T) {
+func TestLimitsSpread(t *testing.T) {
 	run := upstream.Run{ID: "u", Born: 3}
 	a, ra, address := router(t, "a")
 	_, rb, _ := router(t, "b", address)
 	knowGroups(time.Now(), ra, "g")
 	knowGroups(time.Now(), rb, "g")
 	a.becomeReady()
-	if n := ra.LearnLimits(time.Now(), []relay.NamedLimit{limitOf(run, 2), {Service: "unknown", Run: run, Limit: limitOf(run, 1).Limit}}); n != 1 {
+	if n := ra.MergeLimits(time.Now(), []relay.NamedLimit{limitOf(run, 2), {Service: "unknown", Run: run, Limit: limitOf(run, 1).Limit}}); n != 1 {
 		t.Errorf("%d news, want 1: nothing is known of the other service", n)
 	}
 	until(t, "router b told of the limit", func() bool { return knows(rb, run) })
@@ -51,7 +51,7 @@
 		return knows(rc, run)
 	})
 	until(t, "an end that is later than the limit", func() bool {
-		rb.LearnLimits(time.Now(), []relay.NamedLimit{limitOf(run, 0)})
+		rb.MergeLimits(time.Now(), []relay.NamedLimit{limitOf(run, 0)})
 		return !knows(rb, run)
 	})
 	until(t, "router a told of the end", func() bool { return !knows(ra, run) })
@@ -66,9 +66,9 @@
 	return len(r.eligibleRouters(time.Now(), func(peer.Info) bool { return true }))
 }
 
-// TestOneGiver checks that routers agree on one permit grantor for an upstream, that together they
-// grant what one may, and that another router takes over when the grantor leaves.
-func TestOneGiver(t *testing.T) {
+// TestOneGrantor checks that routers agree on one permit grantor for an upstream, that together
+// they grant what one may, and that another router takes over when the grantor leaves.
+func TestOneGrantor(t *testing.T) {
 	a, _, address := router(t, "a")
 	b, _, _ := router(t, "b", address)
 	routers := map[string]*Router{"a": a, "b": b}
@@ -89,7 +89,7 @@
 	given := 0
 	for end := time.Now().Add(last); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		for _, r := range routers {
-			reply, err := r.Ask(t.Context(), time.Now(), condition.Ask{Run: run, Limit: limitOf(run, rate).Limit, Wanted: 4})
+			reply, err := r.RequestPermits(t.Context(), time.Now(), condition.PermitRequest{Run: run, Limit: limitOf(run, rate).Limit, Wanted: 4})
 			if err != nil {
 				t.Error(err)
 			}
@@ -101,7 +101,7 @@
 	}
 	for name, r := range routers {
 		var reply condition.Reply
-		if err := NewAPI(r).Permit(condition.Ask{Run: run, Limit: limitOf(run, rate).Limit, Wanted: 4}, &reply); err != nil || name != first && reply.Given > 0 {
+		if err := NewAPI(r).Permit(condition.PermitRequest{Run: run, Limit: limitOf(run, rate).Limit, Wanted: 4}, &reply); err != nil || name != first && reply.Given > 0 {
 			t.Errorf("router %s gives %d permits, error %v", name, reply.Given, err)
 		}
 	}
@@ -124,7 +124,7 @@
 	server.Start()
 	pool := rpc.NewPool()
 	b.Cleanup(func() { pool.Close(); server.Close() })
-	ask := condition.Ask{Run: upstream.Run{ID: "u"}, Limit: limitOf(upstream.Run{}, 1000).Limit, Wanted: 1}
+	ask := condition.PermitRequest{Run: upstream.Run{ID: "u"}, Limit: limitOf(upstream.Run{}, 1000).Limit, Wanted: 1}
 	var reply condition.Reply
 	for b.Loop() {
 		if err := pool.Call(b.Context(), l.Addr().String(), "Router.Permit", ask, &reply); err != nil {
@@ -137,7 +137,7 @@
 // ledgerAPI grants permits from a ledger.
 type ledgerAPI struct{ ledger *quota.Ledger }
 
-func (g *ledgerAPI) Permit(ask condition.Ask, reply *condition.Reply) error {
+func (g *ledgerAPI) Permit(ask condition.PermitRequest, reply *condition.Reply) error {
 	*reply = g.ledger.Give(time.Now(), ask)
 	return nil
 }
--- a/services/entry/refused.go
+++ b/services/entry/refused.go
@@ -44,7 +44,7 @@
 func (r *Router) refusedChanges(known *registry) (put []quarantine.Entry, drop []string) {
 	now := clock.Now()
 	refused := map[string]bool{}
-	r.opts.Relay.Crashes(func(g *quarantine.Register) {
+	r.opts.Relay.WithCrashes(func(g *quarantine.Register) {
 		for _, e := range g.Refused(now) {
 			name := e.Name()
 			refused[name] = true
@@ -72,7 +72,7 @@
 	restore := r.firstEra(end.Era) == end.Era
 	known.refused, known.refusedEra = map[string]int{}, end.Era
 	now := clock.Now()
-	r.opts.Relay.Crashes(func(g *quarantine.Register) {
+	r.opts.Relay.WithCrashes(func(g *quarantine.Register) {
 		for _, e := range entries {
 			known.refused[e.Key] = 0
 			if e.Value != nil && restore {
--- a/services/entry/report.go
+++ b/services/entry/report.go
@@ -191,7 +191,7 @@
 	for _, c := range r.coordinatorsOf(id) {
 		r.mu.Lock()
 		l := r.groups[c.Group]
-		want := balance.Want{Router: r.table.Self(), List: l.list.Number}
+		want := balance.LoadRequest{Router: r.table.Self(), List: l.list.Number}
 		r.mu.Unlock()
 		if clock.Since(l.reportedAt) < reportStaleAfter {
 			continue
--- a/services/entry/return_test.go
+++ b/services/entry/return_test.go
@@ -242,11 +242,11 @@
 			r.know(func(s *knowledge.State) { v = s.Version() })
 			return v
 		},
-		apply: func(p knowledge.Part[catalog.Catalog]) (fit knowledge.Fit) {
+		apply: func(p knowledge.Segment[catalog.Catalog]) (fit knowledge.Fit) {
 			proven := false
 			r.know(func(s *knowledge.State) {
 				_, unsettled := s.ProofFrom()
-				fit = s.TakeCatalogs(time.Now(), p)
+				fit = s.ApplyCatalogs(time.Now(), p)
 				_, still := s.ProofFrom()
 				proven = unsettled && !still
 			})
@@ -310,12 +310,12 @@
 }
 
 // ask pulls the catalog from another router.
-func (r *simRouter) ask(ctx context.Context, name string) (knowledge.Part[catalog.Catalog], error) {
+func (r *simRouter) ask(ctx context.Context, name string) (knowledge.Segment[catalog.Catalog], error) {
 	asked := time.Now()
 	time.Sleep(routerLatency)
 	i := slices.IndexFunc(r.d.routers, func(o *simRouter) bool { return o.name == name })
 	e := r.d.routers[i].extent()
-	p := knowledge.Part[catalog.Catalog]{Whole: true, Next: e.position(), AsOf: e.asOf(asked), Vouch: e.confirmation(asked)}
+	p := knowledge.Segment[catalog.Catalog]{Whole: true, Next: e.position(), AsOf: e.asOf(asked), Vouch: e.confirmation(asked)}
 	if e.Version > 0 {
 		p.Changes = changesOf([]catalog.Version{e.Version}, e.position())
 	}
@@ -406,9 +406,9 @@
 	}
 }
 
-// TestSchedulesOfReturns runs random schedules of restores, outages, writes, restarts and cuts, in
+// TestRestoreSchedules runs random schedules of restores, outages, writes, restarts and cuts, in
 // which the operator rewrites what was lost within two seconds.
-func TestSchedulesOfReturns(t *testing.T) {
+func TestRestoreSchedules(t *testing.T) {
 	const seeds = 40
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -476,9 +476,9 @@
 	}
 }
 
-// TestReturnAtSize restores the store for as many routers as deployments have, and counts the calls
-// and the time until all routers have converged.
-func TestReturnAtSize(t *testing.T) {
+// TestRestoreAtSize restores the store for as many routers as deployments have, and counts the
+// calls and the time until all routers have converged.
+func TestRestoreAtSize(t *testing.T) {
 	for _, routers := range []int{6, 32, 149} {
 		for name, outage := range map[string]time.Duration{"at once": 0, "after an outage": 2500 * time.Millisecond} {
 			t.Run(fmt.Sprintf("%d routers, %s", routers, name), func(t *testing.T) {
@@ -522,10 +522,10 @@
 	}
 }
 
-// TestRefusedAfterReturn measures for how long routers refuse keys around an outage and a restore
+// TestRefusalsAfterRestore measures for how long routers refuse keys around an outage and a restore
 // in which nothing they know was lost: only while their earlier confirmation is older than the
 // bound on keys allows.
-func TestRefusedAfterReturn(t *testing.T) {
+func TestRefusalsAfterRestore(t *testing.T) {
 	// operatorTime is the time in which the operator rewrites what was lost.
 	const operatorTime = 2 * time.Second
 	for name, outage := range map[string]time.Duration{
--- a/services/entry/seek_test.go
+++ b/services/entry/seek_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestSeekPause checks how often a router searches for the coordinators of a service: often while
-// no load is reported, and less and less often while only some groups are missing.
-func TestSeekPause(t *testing.T) {
+// TestSearchBackoff checks how often a router searches for the coordinators of a service: often
+// while no load is reported, and less and less often while only some groups are missing.
+func TestSearchBackoff(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := map[string]struct {
 		before        time.Duration
--- a/services/knowledge/knowledge.go
+++ b/services/knowledge/knowledge.go
@@ -56,19 +56,19 @@
 // serves after it has reported that it leaves, or after its entry was removed.
 func New(drainTime time.Duration) *State {
 	s := &State{entries: map[upstream.ID]*entry{}, owners: map[string]upstream.ID{}, byService: map[service.ID][]upstream.ID{}}
-	s.Rebound(drainTime)
+	s.SetDrainTime(drainTime)
 	return s
 }
 
-// Rebound sets a new drain time.
-func (s *State) Rebound(drainTime time.Duration) {
+// SetDrainTime sets a new drain time.
+func (s *State) SetDrainTime(drainTime time.Duration) {
 	s.lapse = min(maxLapse, time.Duration(lapseFraction*float64(drainTime)))
 }
 
-// TakeCatalogs applies a segment of the feed of catalogs. Versions only increase: an older version
+// ApplyCatalogs applies a segment of the feed of catalogs. Versions only increase: an older version
 // than the known one is ignored. A newer version is applied wherever it was found, since it was
 // accepted even if the store has lost it since.
-func (s *State) TakeCatalogs(now time.Time, p Part[catalog.Catalog]) Fit {
+func (s *State) ApplyCatalogs(now time.Time, p Segment[catalog.Catalog]) Fit {
 	before := s.catalogs
 	lost := p.Next.Era < before.Next.Era
 	fit := s.catalogs.advance(p.Whole, p.From, p.Next, p.AsOf)
@@ -123,8 +123,8 @@
 // Catalogs returns the read position of the feed of catalogs.
 func (s *State) Catalogs() Watermark { return s.catalogs }
 
-// TakeUpstreams applies a segment of the feed of upstreams.
-func (s *State) TakeUpstreams(now time.Time, p Part[upstream.Instance]) Fit {
+// ApplyUpstreams applies a segment of the feed of upstreams.
+func (s *State) ApplyUpstreams(now time.Time, p Segment[upstream.Instance]) Fit {
 	before := s.upstreams
 	fit := s.upstreams.advance(p.Whole, p.From, p.Next, p.AsOf)
 	if fit != FitNew {
@@ -156,7 +156,7 @@
 
 // recordChanges stores a segment of the feed of upstreams, so that deltas can be sent to other
 // routers.
-func (s *State) recordChanges(p Part[upstream.Instance]) {
+func (s *State) recordChanges(p Segment[upstream.Instance]) {
 	if p.Whole || len(p.Changes) > maxRecentChanges {
 		s.recent, s.recentFrom = nil, p.Next
 		return
@@ -260,8 +260,9 @@
 	return lapsed
 }
 
-// Takes reports whether work may still be sent to an upstream. It is called right before sending.
-func (s *State) Takes(now time.Time, id upstream.ID) bool {
+// AcceptsWork reports whether work may still be sent to an upstream. It is called right before
+// sending.
+func (s *State) AcceptsWork(now time.Time, id upstream.ID) bool {
 	e, ok := s.entries[id]
 	return ok && s.owners[e.instance.Address] == id && e.instance.State == upstream.StateReady && !now.Before(e.unusableUntil) &&
 		(e.removedAt.IsZero() || now.Sub(e.removedAt) <= s.lapse)
--- a/services/knowledge/knowledge_test.go
+++ b/services/knowledge/knowledge_test.go
@@ -21,46 +21,46 @@
 // TestCatalog checks that a catalog never reverts, and that only a confirmed end of the feed makes
 // it fresher.
 func TestCatalog(t *testing.T) {
-	part := func(from, next services.Offset, asOf time.Duration, versions ...catalog.Version) Part[catalog.Catalog] {
-		p := Part[catalog.Catalog]{From: place(from), Next: place(next), AsOf: begin.Add(asOf)}
+	segment := func(from, next services.Offset, asOf time.Duration, versions ...catalog.Version) Segment[catalog.Catalog] {
+		p := Segment[catalog.Catalog]{From: place(from), Next: place(next), AsOf: begin.Add(asOf)}
 		for _, v := range versions {
 			p.Changes = append(p.Changes, services.Change[catalog.Catalog]{Value: &catalog.Catalog{Version: v}})
 		}
 		return p
 	}
-	told := func(p Part[catalog.Catalog]) Part[catalog.Catalog] {
+	told := func(p Segment[catalog.Catalog]) Segment[catalog.Catalog] {
 		p.AsOf = time.Time{}
 		return p
 	}
-	whole := func(p Part[catalog.Catalog]) Part[catalog.Catalog] {
+	whole := func(p Segment[catalog.Catalog]) Segment[catalog.Catalog] {
 		p.Whole = true
 		return p
 	}
 	s := New(2 * time.Second)
 	steps := []struct {
 		name    string
-		part    Part[catalog.Catalog]
+		segment Segment[catalog.Catalog]
 		fit     Fit
 		version catalog.Version
 		next    services.Offset
 		at      time.Duration
 	}{
-		{"a stretch before anything is known", part(3, 4, 0, 6), FitGap, 0, 0, 0},
-		{"a whole feed", whole(part(0, 3, 0, 5)), FitNew, 5, 3, 0},
-		{"nothing new", part(3, 3, time.Second), FitSame, 5, 3, time.Second},
-		{"late word of that", part(3, 3, time.Second/2), FitSame, 5, 3, time.Second},
-		{"an older version", part(3, 4, 2*time.Second, 4), FitNew, 5, 4, 2 * time.Second},
-		{"word of an earlier end", part(3, 3, 3*time.Second), FitStale, 5, 4, 2 * time.Second},
-		{"word of a later end", part(5, 5, 3*time.Second), FitGap, 5, 4, 2 * time.Second},
-		{"a stretch that begins later", part(6, 7, 3*time.Second, 9), FitGap, 5, 4, 2 * time.Second},
-		{"a stretch that begins earlier", part(3, 6, 3*time.Second, 9), FitStale, 5, 4, 2 * time.Second},
-		{"what another router tells", told(part(4, 5, 0, 7)), FitNew, 7, 5, 2 * time.Second},
-		{"the same by an own read", part(4, 5, 3*time.Second, 7), FitSame, 7, 5, 3 * time.Second},
-		{"an older whole feed", whole(part(0, 4, 4*time.Second, 5)), FitStale, 7, 5, 3 * time.Second},
-		{"a newer whole feed", whole(part(0, 9, 2*time.Second, 9)), FitNew, 9, 9, 3 * time.Second},
+		{"a stretch before anything is known", segment(3, 4, 0, 6), FitGap, 0, 0, 0},
+		{"a whole feed", whole(segment(0, 3, 0, 5)), FitNew, 5, 3, 0},
+		{"nothing new", segment(3, 3, time.Second), FitSame, 5, 3, time.Second},
+		{"late word of that", segment(3, 3, time.Second/2), FitSame, 5, 3, time.Second},
+		{"an older version", segment(3, 4, 2*time.Second, 4), FitNew, 5, 4, 2 * time.Second},
+		{"word of an earlier end", segment(3, 3, 3*time.Second), FitStale, 5, 4, 2 * time.Second},
+		{"word of a later end", segment(5, 5, 3*time.Second), FitGap, 5, 4, 2 * time.Second},
+		{"a stretch that begins later", segment(6, 7, 3*time.Second, 9), FitGap, 5, 4, 2 * time.Second},
+		{"a stretch that begins earlier", segment(3, 6, 3*time.Second, 9), FitStale, 5, 4, 2 * time.Second},
+		{"what another router tells", told(segment(4, 5, 0, 7)), FitNew, 7, 5, 2 * time.Second},
+		{"the same by an own read", segment(4, 5, 3*time.Second, 7), FitSame, 7, 5, 3 * time.Second},
+		{"an older whole feed", whole(segment(0, 4, 4*time.Second, 5)), FitStale, 7, 5, 3 * time.Second},
+		{"a newer whole feed", whole(segment(0, 9, 2*time.Second, 9)), FitNew, 9, 9, 3 * time.Second},
 	}
 	for _, st := range steps {
-		fit := s.TakeCatalogs(begin, st.part)
+		fit := s.ApplyCatalogs(begin, st.segment)
 		version := catalog.Version(0)
 		if s.Index() != nil {
 			version = s.Index().Version
@@ -115,13 +115,13 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := New(2 * time.Second)
-			s.TakeUpstreams(begin, Part[upstream.Instance]{Whole: true, Next: place(1), AsOf: begin, Changes: changes{up("a", ready), up("b", ready)}})
-			s.TakeUpstreams(begin, Part[upstream.Instance]{Whole: c.whole, From: place(1), Next: place(2), AsOf: begin, Changes: c.then})
+			s.ApplyUpstreams(begin, Segment[upstream.Instance]{Whole: true, Next: place(1), AsOf: begin, Changes: changes{up("a", ready), up("b", ready)}})
+			s.ApplyUpstreams(begin, Segment[upstream.Instance]{Whole: c.whole, From: place(1), Next: place(2), AsOf: begin, Changes: c.then})
 			now := begin.Add(c.after)
 			if got := len(s.Usable(now, "s")); got != c.usable {
 				t.Errorf("%d usable, want %d", got, c.usable)
 			}
-			if got := s.Takes(now, "a"); got != c.takesA {
+			if got := s.AcceptsWork(now, "a"); got != c.takesA {
 				t.Errorf("a takes work: %t, want %t", got, c.takesA)
 			}
 		})
@@ -152,8 +152,8 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := New(2 * time.Second)
-			s.TakeUpstreams(begin, Part[upstream.Instance]{Whole: true, Next: place(6), AsOf: begin, Changes: c.first})
-			s.TakeUpstreams(begin, Part[upstream.Instance]{From: place(6), Next: place(7), AsOf: begin, Changes: c.then})
+			s.ApplyUpstreams(begin, Segment[upstream.Instance]{Whole: true, Next: place(6), AsOf: begin, Changes: c.first})
+			s.ApplyUpstreams(begin, Segment[upstream.Instance]{From: place(6), Next: place(7), AsOf: begin, Changes: c.then})
 			now := begin.Add(c.after)
 			var got []string
 			for _, i := range s.Usable(now, "s") {
@@ -163,7 +163,7 @@
 				t.Errorf("usable %q, want %q", got, c.want)
 			}
 			for _, id := range []upstream.ID{"a", "b"} {
-				if s.Takes(now, id) && !strings.Contains(c.want, string(id)) && name != "the address goes to another service" {
+				if s.AcceptsWork(now, id) && !strings.Contains(c.want, string(id)) && name != "the address goes to another service" {
 					t.Errorf("%s takes work", id)
 				}
 			}
@@ -178,12 +178,12 @@
 		i := &upstream.Instance{ID: upstream.ID(id), Service: service, Address: "here", State: upstream.StateReady}
 		return services.Change[upstream.Instance]{Key: id, Value: i, At: place(at)}
 	}
-	ups := Part[upstream.Instance]{Whole: true, Next: place(2), AsOf: begin, Changes: []services.Change[upstream.Instance]{entry("a", "s", 0), entry("b", "else", 1)}}
+	ups := Segment[upstream.Instance]{Whole: true, Next: place(2), AsOf: begin, Changes: []services.Change[upstream.Instance]{entry("a", "s", 0), entry("b", "else", 1)}}
 	named := &catalog.Catalog{Version: 1, Services: []catalog.Service{{ID: "s"}}}
-	catalogs := Part[catalog.Catalog]{Whole: true, Next: place(1), AsOf: begin, Changes: []services.Change[catalog.Catalog]{{Key: "c", Value: named}}}
+	catalogs := Segment[catalog.Catalog]{Whole: true, Next: place(1), AsOf: begin, Changes: []services.Change[catalog.Catalog]{{Key: "c", Value: named}}}
 	orders := map[string][]func(*State){
-		"the catalog first": {func(s *State) { s.TakeCatalogs(begin, catalogs) }, func(s *State) { s.TakeUpstreams(begin, ups) }},
-		"the catalog last":  {func(s *State) { s.TakeUpstreams(begin, ups) }, func(s *State) { s.TakeCatalogs(begin, catalogs) }},
+		"the catalog first": {func(s *State) { s.ApplyCatalogs(begin, catalogs) }, func(s *State) { s.ApplyUpstreams(begin, ups) }},
+		"the catalog last":  {func(s *State) { s.ApplyUpstreams(begin, ups) }, func(s *State) { s.ApplyCatalogs(begin, catalogs) }},
 	}
 	for name, steps := range orders {
 		t.Run(name, func(t *testing.T) {
@@ -191,7 +191,7 @@
 			for _, step := range steps {
 				step(s)
 			}
-			if got := s.Usable(begin, "s"); len(got) != 1 || !s.Takes(begin, "a") {
+			if got := s.Usable(begin, "s"); len(got) != 1 || !s.AcceptsWork(begin, "a") {
 				t.Errorf("usable: %+v", got)
 			}
 			if got := s.Usable(begin, "else"); len(got) != 0 {
--- a/services/knowledge/part.go
+++ b/services/knowledge/part.go
@@ -9,8 +9,8 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// Part is a segment of a feed that was read by this router or another one.
-type Part[T any] struct {
+// Segment is a segment of a feed that was read by this router or another one.
+type Segment[T any] struct {
 	// Whole reports whether Changes is a full snapshot that replaces all earlier state; From is not
 	// used then.
 	Whole bool
--- a/services/knowledge/return_test.go
+++ b/services/knowledge/return_test.go
@@ -13,65 +13,65 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// TestCatalogAfterReturn applies reads and updates from other routers, in the orders in which they
+// TestCatalogAfterRestore applies reads and updates from other routers, in the orders in which they
 // may arrive, after the store was restored from a copy.
-func TestCatalogAfterReturn(t *testing.T) {
+func TestCatalogAfterRestore(t *testing.T) {
 	at := func(era services.Era, o services.Offset) services.Place { return services.Place{Era: era, Offset: o} }
-	part := func(whole bool, from, next services.Place, ms int, versions ...catalog.Version) Part[catalog.Catalog] {
-		p := Part[catalog.Catalog]{Whole: whole, From: from, Next: next, AsOf: begin.Add(time.Duration(ms) * time.Millisecond)}
+	segment := func(whole bool, from, next services.Place, ms int, versions ...catalog.Version) Segment[catalog.Catalog] {
+		p := Segment[catalog.Catalog]{Whole: whole, From: from, Next: next, AsOf: begin.Add(time.Duration(ms) * time.Millisecond)}
 		for _, v := range versions {
 			p.Changes = append(p.Changes, services.Change[catalog.Catalog]{Key: "config", Value: &catalog.Catalog{Version: v}})
 		}
 		return p
 	}
 	// Known before: version 48, up to offset 15 of era 1.
-	known := part(true, services.Place{}, at(1, 15), 0, 48)
-	copied := part(true, services.Place{}, at(2, 11), 100, 34)
+	known := segment(true, services.Place{}, at(1, 15), 0, 48)
+	copied := segment(true, services.Place{}, at(2, 11), 100, 34)
 	type step struct {
-		part    Part[catalog.Catalog]
+		segment Segment[catalog.Catalog]
 		fit     Fit
 		version catalog.Version
 		next    services.Place
 	}
 	cases := map[string][]step{
 		"the copy ends before":            {{copied, FitNew, 48, at(2, 11)}},
-		"the copy ends where the log did": {{part(true, services.Place{}, at(2, 15), 100, 34), FitNew, 48, at(2, 15)}},
-		"and is overtaken by new records": {{part(true, services.Place{}, at(2, 19), 100, 62), FitNew, 62, at(2, 19)}},
+		"the copy ends where the log did": {{segment(true, services.Place{}, at(2, 15), 100, 34), FitNew, 48, at(2, 15)}},
+		"and is overtaken by new records": {{segment(true, services.Place{}, at(2, 19), 100, 62), FitNew, 62, at(2, 19)}},
 		"no records of the new era are missed": {
-			{part(false, at(2, 15), at(2, 15), 100), FitGap, 48, at(1, 15)},
-			{part(false, at(2, 15), at(2, 16), 100, 52), FitGap, 48, at(1, 15)},
+			{segment(false, at(2, 15), at(2, 15), 100), FitGap, 48, at(1, 15)},
+			{segment(false, at(2, 15), at(2, 16), 100, 52), FitGap, 48, at(1, 15)},
 			{copied, FitNew, 48, at(2, 11)},
 		},
 		"an answer from before comes late": {
 			{copied, FitNew, 48, at(2, 11)},
-			{part(false, at(1, 15), at(1, 15), 50), FitStale, 48, at(2, 11)},
-			{part(false, at(1, 15), at(1, 16), 50), FitStale, 48, at(2, 11)},
-			{part(true, services.Place{}, at(1, 20), 50, 48), FitStale, 48, at(2, 11)},
+			{segment(false, at(1, 15), at(1, 15), 50), FitStale, 48, at(2, 11)},
+			{segment(false, at(1, 15), at(1, 16), 50), FitStale, 48, at(2, 11)},
+			{segment(true, services.Place{}, at(1, 20), 50, 48), FitStale, 48, at(2, 11)},
 		},
 		"it holds a version that is lost": {
 			{copied, FitNew, 48, at(2, 11)},
-			{part(false, at(1, 15), at(1, 16), 50, 50), FitStale, 50, at(2, 11)},
+			{segment(false, at(1, 15), at(1, 16), 50, 50), FitStale, 50, at(2, 11)},
 		},
 		"another router knows a version that is lost": {
 			{copied, FitNew, 48, at(2, 11)},
-			{part(true, services.Place{}, at(2, 11), 120, 55), FitNew, 55, at(2, 11)},
+			{segment(true, services.Place{}, at(2, 11), 120, 55), FitNew, 55, at(2, 11)},
 		},
 		"the operator writes again, one by one": {
 			{copied, FitNew, 48, at(2, 11)},
-			{part(false, at(2, 11), at(2, 13), 200, 37, 48), FitNew, 48, at(2, 13)},
-			{part(false, at(2, 13), at(2, 14), 300, 52), FitNew, 52, at(2, 14)},
+			{segment(false, at(2, 11), at(2, 13), 200, 37, 48), FitNew, 48, at(2, 13)},
+			{segment(false, at(2, 13), at(2, 14), 300, 52), FitNew, 52, at(2, 14)},
 		},
 		"two returns, of which one was not seen": {
-			{part(true, services.Place{}, at(3, 10), 100, 31), FitNew, 48, at(3, 10)},
+			{segment(true, services.Place{}, at(3, 10), 100, 31), FitNew, 48, at(3, 10)},
 			{copied, FitStale, 48, at(3, 10)},
 		},
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := New(2 * time.Second)
-			s.TakeCatalogs(begin, known)
+			s.ApplyCatalogs(begin, known)
 			for i, st := range steps {
-				fit := s.TakeCatalogs(begin, st.part)
+				fit := s.ApplyCatalogs(begin, st.segment)
 				if fit != st.fit || s.Version() != st.version || s.Catalogs().Next != st.next {
 					t.Errorf("step %d: %s, version %d up to %s; want %s, %d, %s", i, fit, s.Version(), s.Catalogs().Next, st.fit, st.version, st.next)
 				}
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestUpstreamsAfterReturn restores the store from a copy that lists upstreams as they were before
+// TestUpstreamsAfterRestore restores the store from a copy that lists upstreams as they were before
 // they left, arrived or restarted.
-func TestUpstreamsAfterReturn(t *testing.T) {
+func TestUpstreamsAfterRestore(t *testing.T) {
 	at := func(era services.Era, o services.Offset) services.Place { return services.Place{Era: era, Offset: o} }
 	const ready, leaving = upstream.StateReady, upstream.StateLeaving
 	type changes = []services.Change[upstream.Instance]
@@ -142,16 +142,16 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := New(2 * time.Second)
-			s.TakeUpstreams(begin, Part[upstream.Instance]{Whole: true, Next: at(1, 2), AsOf: begin, Changes: first})
-			s.TakeUpstreams(begin, Part[upstream.Instance]{From: at(1, 2), Next: at(1, 3), AsOf: begin, Changes: c.lost})
+			s.ApplyUpstreams(begin, Segment[upstream.Instance]{Whole: true, Next: at(1, 2), AsOf: begin, Changes: first})
+			s.ApplyUpstreams(begin, Segment[upstream.Instance]{From: at(1, 2), Next: at(1, 3), AsOf: begin, Changes: c.lost})
 			now := begin.Add(2 * time.Second)
-			s.TakeUpstreams(now, Part[upstream.Instance]{Whole: true, Next: at(2, 2), AsOf: now, Changes: c.copied})
-			s.TakeUpstreams(now, Part[upstream.Instance]{From: at(2, 2), Next: at(2, 3), AsOf: now, Changes: c.then})
+			s.ApplyUpstreams(now, Segment[upstream.Instance]{Whole: true, Next: at(2, 2), AsOf: now, Changes: c.copied})
+			s.ApplyUpstreams(now, Segment[upstream.Instance]{From: at(2, 2), Next: at(2, 3), AsOf: now, Changes: c.then})
 			if got := taking(s, now); !slices.Equal(got, c.want) {
 				t.Errorf("after the return %v take work, want %v", got, c.want)
 			}
 			now = now.Add(2 * relistDelay)
-			s.TakeUpstreams(now, Part[upstream.Instance]{From: at(2, 3), Next: at(2, 4), AsOf: now})
+			s.ApplyUpstreams(now, Segment[upstream.Instance]{From: at(2, 3), Next: at(2, 4), AsOf: now})
 			if got := taking(s, now); !slices.Equal(got, c.later) {
 				t.Errorf("a while after it %v take work, want %v", got, c.later)
 			}
@@ -161,12 +161,12 @@
 
 func ids(list ...upstream.ID) []upstream.ID { return list }
 
-// taking returns the upstreams that may get work of a service: Usable lists them, and Takes agrees
-// right before sending.
+// taking returns the upstreams that may get work of a service: Usable lists them, and AcceptsWork
+// agrees right before sending.
 func taking(s *State, now time.Time) []upstream.ID {
 	var out []upstream.ID
 	for _, i := range s.Usable(now, "s") {
-		if s.Takes(now, i.ID) {
+		if s.AcceptsWork(now, i.ID) {
 			out = append(out, i.ID)
 		}
 	}
--- a/services/mapswitch/explore_test.go
+++ b/services/mapswitch/explore_test.go
@@ -23,7 +23,7 @@
 	frozen int
 	// agent is what the agent beside the engine remembers, and highestAuthority the highest
 	// authority it received.
-	agent            services.RankNotes
+	agent            services.AgentRecords
 	highestAuthority services.Fence
 	// run counts the restarts of the agent.
 	run int
@@ -49,7 +49,7 @@
 	abandonRand *rand.Rand
 	abandoned   int
 	// freezeRand decides when a VM freezes with its engine; nil if none does. resolvedWithout
-	// counts the machines that SettleWithout returned.
+	// counts the machines that ResolveWithout returned.
 	freezeRand      *rand.Rand
 	resolvedWithout int
 	now             time.Time
@@ -248,12 +248,12 @@
 		w.next(p)
 		return
 	}
-	p.outbox = append(p.outbox, m.Sends()...)
+	p.outbox = append(p.outbox, m.TakeOrders()...)
 	if len(p.outbox) > 0 {
 		i := w.rand.IntN(len(p.outbox))
 		s := p.outbox[i]
 		p.outbox = append(p.outbox[:i], p.outbox[i+1:]...)
-		m.Answer(w.now, s, w.deliver(s))
+		m.HandleAnswer(w.now, s, w.deliver(s))
 	}
 	if w.rand.IntN(4) == 0 {
 		if r := w.rand.IntN(len(w.ranks)); w.ranks[r].frozen <= w.round {
@@ -296,13 +296,13 @@
 	if silent := w.silent(); len(silent) > 0 {
 		p.machine = nil
 		if len(silent) == 1 {
-			if p.machine = SettleWithout(w.now, p.fence, p.self, silent[0], status); p.machine != nil {
+			if p.machine = ResolveWithout(w.now, p.fence, p.self, silent[0], status); p.machine != nil {
 				w.resolvedWithout++
 			}
 		}
 		return
 	}
-	if p.machine = Settle(w.now, p.fence, p.self, status); p.machine != nil {
+	if p.machine = Resolve(w.now, p.fence, p.self, status); p.machine != nil {
 		return
 	}
 	p.version = NextVersion(p.version, p.self)
@@ -350,7 +350,7 @@
 		if w.freezeRand != nil && w.freezeRand.IntN(80) == 0 {
 			// An agent restarts and loses its state.
 			e := w.ranks[w.freezeRand.IntN(len(w.ranks))]
-			e.agent, e.highestAuthority, e.run = services.RankNotes{}, 0, e.run+1
+			e.agent, e.highestAuthority, e.run = services.AgentRecords{}, 0, e.run+1
 		}
 		if w.rand.IntN(6) == 0 {
 			w.pass()
@@ -428,9 +428,9 @@
 	}
 }
 
-// TestBornAgain checks that a change fails if a rank restarts during it and still reports the same
-// epoch, and that a status from an earlier run of the rank has no effect.
-func TestBornAgain(t *testing.T) {
+// TestRankRestart checks that a change fails if a rank restarts during it and still reports the
+// same epoch, and that a status from an earlier run of the rank has no effect.
+func TestRankRestart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	status := func() []services.RankStatus {
 		return []services.RankStatus{{Born: 100, Epoch: 1, Size: 2, Rank: 0}, {Born: 100, Epoch: 1, Size: 2, Rank: 1}}
--- a/services/mapswitch/machine.go
+++ b/services/mapswitch/machine.go
@@ -193,8 +193,8 @@
 	return last
 }
 
-// Answer processes the result of an order that Sends returned.
-func (m *Machine) Answer(now time.Time, s Send, a services.RankAnswer) {
+// HandleAnswer processes the result of an order that TakeOrders returned.
+func (m *Machine) HandleAnswer(now time.Time, s Send, a services.RankAnswer) {
 	if m.Ended() || !m.addresses(s.Rank) || s.Begin != (m.stage == StagePrepareOwner) || s.Order.Kind != m.order(s.Rank).Kind || s.Order.Fence != m.Fence || (m.stage != StageRelease && s.Order.Step != m.step) {
 		return
 	}
--- a/services/mapswitch/send.go
+++ b/services/mapswitch/send.go
@@ -43,9 +43,9 @@
 	return false
 }
 
-// Sends returns the orders to send now. An order is not returned again before its result is passed
-// to Answer.
-func (m *Machine) Sends() []Send {
+// TakeOrders returns the orders to send now. An order is not returned again before its result is
+// passed to HandleAnswer.
+func (m *Machine) TakeOrders() []Send {
 	if m.Ended() {
 		return nil
 	}
--- a/services/mapswitch/settle.go
+++ b/services/mapswitch/settle.go
@@ -23,20 +23,20 @@
 // versionOwner returns the rank of the coordinator that assigned a version.
 func versionOwner(v expertmap.Version) group.Rank { return group.Rank(v & (1<<ownerBits - 1)) }
 
-// Settle returns a machine that resolves the unfinished change of an earlier coordinator, or nil if
-// there is none. It first raises the fence at all ranks, so that the states they report afterwards
-// cannot be changed by an earlier coordinator.
-func Settle(now time.Time, f services.Fence, self group.Rank, status []services.RankStatus) *Machine {
+// Resolve returns a machine that resolves the unfinished change of an earlier coordinator, or nil
+// if there is none. It first raises the fence at all ranks, so that the states they report
+// afterwards cannot be changed by an earlier coordinator.
+func Resolve(now time.Time, f services.Fence, self group.Rank, status []services.RankStatus) *Machine {
 	if !unfinished(status) {
 		return nil
 	}
 	return newResolution(now, f, self, noRank, status)
 }
 
-// SettleWithout is Settle for a group in which one rank does not answer. It also returns nil if the
-// state of that rank does not follow from what the others report. Their reports are checked again
-// after the fence.
-func SettleWithout(now time.Time, f services.Fence, self, silent group.Rank, status []services.RankStatus) *Machine {
+// ResolveWithout is Resolve for a group in which one rank does not answer. It also returns nil if
+// the state of that rank does not follow from what the others report. Their reports are checked
+// again after the fence.
+func ResolveWithout(now time.Time, f services.Fence, self, silent group.Rank, status []services.RankStatus) *Machine {
 	if !unfinished(status) || !isUnarmedOwner(silent, status) {
 		return nil
 	}
--- a/services/once/explore_test.go
+++ b/services/once/explore_test.go
@@ -511,8 +511,9 @@
 	}
 }
 
-// TestExploreForgets runs schedules with a journal that drops records before owners have read them.
-func TestExploreForgets(t *testing.T) {
+// TestExploreDroppedRecords runs schedules with a journal that drops records before owners have
+// read them.
+func TestExploreDroppedRecords(t *testing.T) {
 	const seeds, minLostTables = exploreSeeds / 3, 10
 	ran, lost := 0, 0
 	for seed := range uint64(seeds) {
--- a/services/once/sight_test.go
+++ b/services/once/sight_test.go
@@ -45,7 +45,7 @@
 	return Owner{Upstream: id, Incarnation: upstream.Incarnation("of " + string(id))}
 }
 
-// TestOwnerLostSight covers a journal that is unreachable for longer than it keeps its records
+// TestOwnerMissedRecords covers a journal that is unreachable for longer than it keeps its records
 // while the owner of all slices is paused.
 //
 // When the owner resumes, the record that made it the owner has been dropped, so it drops its
@@ -53,7 +53,7 @@
 // to request its tables three times a second without end, and it refused: every request for these
 // slices was rejected until the owner restarted. Each of two agents logged "handover refused: slice
 // is not owned here" 680 times, and no slice was taken in 30 s.
-func TestOwnerLostSight(t *testing.T) {
+func TestOwnerMissedRecords(t *testing.T) {
 	now := time.Unix(1000, 0)
 	paused, other := testOwner("sleeper"), testOwner("other")
 	cfg := Config{Lifetime: time.Minute, Capacity: 10, AnswerBytes: 1 << 10, OutageAfter: time.Second}
@@ -107,8 +107,8 @@
 }
 
 // TestHandoverRefused checks that a refused handover reports its reason: the asked agent does not
-// own the slice, or the slice is not settled yet. TestOwnerLostSight covers an agent that missed
-// records.
+// own the slice, or the slice is not settled yet. TestOwnerMissedRecords covers an agent that
+// missed records.
 func TestHandoverRefused(t *testing.T) {
 	now := time.Unix(1000, 0)
 	mine, other := request.Slice(1), request.Slice(2)
--- a/services/peer/spread_test.go
+++ b/services/peer/spread_test.go
@@ -267,10 +267,10 @@
 	}
 }
 
-// TestSpread checks, for deployments of 7 to 149 routers, how soon all routers learn that one has
+// TestGossip checks, for deployments of 7 to 149 routers, how soon all routers learn that one has
 // started, was killed or lost power. The calls of a router must grow at most with the logarithm of
 // their number.
-func TestSpread(t *testing.T) {
+func TestGossip(t *testing.T) {
 	cases := map[string]struct {
 		routers, dataCentres int
 		seeds                uint64
@@ -289,7 +289,7 @@
 	}
 }
 
-// BenchmarkSpread simulates deployments up to the planned size and prints what TestSpread logs.
+// BenchmarkSpread simulates deployments up to the planned size and prints what TestGossip logs.
 func BenchmarkSpread(b *testing.B) {
 	for _, routers := range []int{7, 41, 149, 300, 1000} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
@@ -363,10 +363,10 @@
 	return float64(missing) / float64(pairs)
 }
 
-// TestSpreadUnderFaults checks how many routers lose contact with each other while links lose
+// TestGossipUnderFaults checks how many routers lose contact with each other while links lose
 // packets, data centres or single routers are cut off, or VMs freeze. All routers must agree soon
 // after the fault.
-func TestSpreadUnderFaults(t *testing.T) {
+func TestGossipUnderFaults(t *testing.T) {
 	cases := map[string]struct {
 		begin, end func(m *model)
 		// missing is the fraction of pairs of routers that may not list each other after some
--- a/services/placement/full.go
+++ b/services/placement/full.go
@@ -10,11 +10,11 @@
 	"fawnwinch.org/fawnwinch/models/expertmap"
 )
 
-// Full computes a map from the popularity alone. It gives replicas to the experts with the most
-// load per replica and assigns the replicas, largest load first, each to the least loaded rank with
-// a free slot. It then reduces the remaining skew move by move. It is the baseline that ignores the
-// cost of loading.
-func Full(m *expertmap.Map, p Popularity, speed []float64) *expertmap.Map {
+// Recompute computes a map from the popularity alone. It gives replicas to the experts with the
+// most load per replica and assigns the replicas, largest load first, each to the least loaded rank
+// with a free slot. It then reduces the remaining skew move by move. It is the baseline that
+// ignores the cost of loading.
+func Recompute(m *expertmap.Map, p Popularity, speed []float64) *expertmap.Map {
 	out := &expertmap.Map{Group: m.Group, Version: m.Version, Layers: make([]expertmap.Layer, len(p))}
 	for i := range p {
 		room := make([]int, len(m.Layers[i].Slots))
--- a/services/placement/placement_test.go
+++ b/services/placement/placement_test.go
@@ -55,7 +55,7 @@
 	}
 	return map[string]func(*expertmap.Map, Popularity) *expertmap.Map{
 		"static": func(*expertmap.Map, Popularity) *expertmap.Map { return nil },
-		"full":   func(m *expertmap.Map, p Popularity) *expertmap.Map { return Full(m, p, speed) },
+		"full":   func(m *expertmap.Map, p Popularity) *expertmap.Map { return Recompute(m, p, speed) },
 		"greedy": incremental(Policy{MaxMoves: math.MaxInt, Enough: 1, Price: 1e-4}),
 		"skew":   incremental(SkewPolicy(budget)),
 		"cost":   incremental(CostPolicy(budget)),
@@ -186,8 +186,8 @@
 	}
 }
 
-// TestApplyDiffersNot compares the loads after a sequence of moves with recomputed loads.
-func TestApplyDiffersNot(t *testing.T) {
+// TestApplyMatchesRecompute compares the loads after a sequence of moves with recomputed loads.
+func TestApplyMatchesRecompute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := size{ranks: rapid.IntRange(2, 6).Draw(t, "ranks"), experts: rapid.IntRange(4, 16).Draw(t, "experts"), layers: 1}
 		s.slots = (s.experts+s.ranks-1)/s.ranks + 1
@@ -213,9 +213,9 @@
 	})
 }
 
-// TestDecideShares checks that the layers share the limit of experts that each rank may load: the
-// change of one layer does not prevent the change of another at ranks below the limit.
-func TestDecideShares(t *testing.T) {
+// TestDecideSharesLoadLimit checks that the layers share the limit of experts that each rank may
+// load: the change of one layer does not prevent the change of another at ranks below the limit.
+func TestDecideSharesLoadLimit(t *testing.T) {
 	s := size{ranks: 8, experts: 16, slots: 3, layers: 3}
 	p := make(Popularity, s.layers)
 	for l := range p {
--- a/services/protocol.go
+++ b/services/protocol.go
@@ -83,9 +83,9 @@
 	Refusal(id request.ID, after time.Duration) http.Header
 }
 
-// Permits grants permits to send requests to upstreams that limit the requests from all routers
-// together.
-type Permits interface {
-	// Ask requests permits. If it returns an error, none were granted.
-	Ask(ctx context.Context, now time.Time, ask condition.Ask) (condition.Reply, error)
+// PermitGrantor grants permits to send requests to upstreams that limit the requests from all
+// routers together.
+type PermitGrantor interface {
+	// RequestPermits requests permits. If it returns an error, none were granted.
+	RequestPermits(ctx context.Context, now time.Time, ask condition.PermitRequest) (condition.Reply, error)
 }
--- a/services/quarantine/register_test.go
+++ b/services/quarantine/register_test.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestTold checks that registers that exchange their changes converge in any order, and that a
-// request stays cleared.
-func TestTold(t *testing.T) {
+// TestRegistersConverge checks that registers that exchange their changes converge in any order,
+// and that a request stays cleared.
+func TestRegistersConverge(t *testing.T) {
 	for seed := range uint64(200) {
 		chance := rand.New(rand.NewPCG(seed, 0))
 		now := testStart
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestBounds checks that a register keeps only the latest requests, and sends all of them to a
-// router that restarts.
-func TestBounds(t *testing.T) {
+// TestRegisterLimits checks that a register keeps only the latest requests, and sends all of them
+// to a router that restarts.
+func TestRegisterLimits(t *testing.T) {
 	r := NewRegister(testStart)
 	for i := range 2 * maxKeys {
 		now := testStart.Add(time.Duration(i) * time.Millisecond)
--- a/services/quota/ledger.go
+++ b/services/quota/ledger.go
@@ -62,7 +62,7 @@
 func Denied() condition.Reply { return condition.Reply{Again: deniedRetryAfter} }
 
 // Give replies to a request for permits.
-func (l *Ledger) Give(now time.Time, ask condition.Ask) condition.Reply {
+func (l *Ledger) Give(now time.Time, ask condition.PermitRequest) condition.Reply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a, ok := l.accounts[ask.Run]
--- a/services/quota/ledger_test.go
+++ b/services/quota/ledger_test.go
@@ -15,8 +15,8 @@
 var begin = time.Unix(1000, 0)
 
 // ask returns a request of a router that has just received a limit.
-func ask(rate upstream.Rate, wanted int) condition.Ask {
-	return condition.Ask{Run: upstream.Run{ID: "u"}, Limit: condition.ToldLimit{Known: true, Named: rate >= 0, Rate: max(rate, 0)}, Wanted: wanted}
+func ask(rate upstream.Rate, wanted int) condition.PermitRequest {
+	return condition.PermitRequest{Run: upstream.Run{ID: "u"}, Limit: condition.WireLimit{Known: true, Named: rate >= 0, Rate: max(rate, 0)}, Wanted: wanted}
 }
 
 // TestGive has routers ask as often as they may and counts the permits: their rate must be close to
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestTurns checks that routers without a permit get different retry times, and that none waits for
-// long.
-func TestTurns(t *testing.T) {
+// TestRetryTimes checks that routers without a permit get different retry times, and that none
+// waits for long.
+func TestRetryTimes(t *testing.T) {
 	l, retryTimes := NewLedger(), map[time.Duration]int{}
 	for range 100 {
 		retryTimes[l.Give(begin, ask(2, 1)).Again]++
@@ -89,7 +89,7 @@
 func TestEnded(t *testing.T) {
 	l := NewLedger()
 	l.Give(begin, ask(1, 1))
-	end := condition.Ask{Run: upstream.Run{ID: "u"}, Limit: condition.ToldLimit{Known: true}}
+	end := condition.PermitRequest{Run: upstream.Run{ID: "u"}, Limit: condition.WireLimit{Known: true}}
 	old := ask(1, 1)
 	old.Limit.SentAge, old.Limit.HeardAge = 2*time.Second, 2*time.Second
 	if r := l.Give(begin.Add(100*time.Millisecond), end); !r.Limit.Named {
@@ -120,7 +120,7 @@
 // ExampleLedger_Give shows a router that gets a permit, and one that gets a retry time.
 func ExampleLedger_Give() {
 	l := NewLedger()
-	question := condition.Ask{Run: upstream.Run{ID: "i-1"}, Limit: condition.ToldLimit{Known: true, Named: true, Rate: 2}, Wanted: 1}
+	question := condition.PermitRequest{Run: upstream.Run{ID: "i-1"}, Limit: condition.WireLimit{Known: true, Named: true, Rate: 2}, Wanted: 1}
 	l.Give(begin, question)
 	fmt.Println(l.Give(begin.Add(time.Second), question).Given)
 	fmt.Println(l.Give(begin.Add(time.Second), question).Again)
--- a/services/rank.go
+++ b/services/rank.go
@@ -44,11 +44,11 @@
 	// The usual value is 1.
 	Pace float64
 	// Noted holds the records of the agent beside the rank; empty if the engine was asked directly.
-	Noted RankNotes
+	Noted AgentRecords
 }
 
-// RankNotes holds an agent's records of changes of map since its start.
-type RankNotes struct {
+// AgentRecords holds an agent's records of changes of map since its start.
+type AgentRecords struct {
 	// Prepared is the latest version that the rank has begun to load on an order of this agent.
 	Prepared expertmap.Version
 	// Announced is the latest version for which a coordinator has announced that it will arm its
--- a/services/rank/agent.go
+++ b/services/rank/agent.go
@@ -107,7 +107,7 @@
 	lastTry    TryEnd
 	sentCounts countSender
 	maps       preparedMaps
-	notes      services.RankNotes
+	notes      services.AgentRecords
 }
 
 // New returns an agent.
@@ -321,7 +321,7 @@
 	case s.Born < a.born:
 		return errEarlierRun
 	case s.Born > a.born:
-		a.born, a.notes, a.maps = s.Born, services.RankNotes{}, nil
+		a.born, a.notes, a.maps = s.Born, services.AgentRecords{}, nil
 	}
 	a.groupReadAt = now
 	a.candidate.SetRank(now, s.Group, int(s.Rank), s.Size)
--- a/services/rank/claim_test.go
+++ b/services/rank/claim_test.go
@@ -61,9 +61,9 @@
 	return a
 }
 
-// TestLedMeanwhile checks that an agent does not claim when a coordinator has taken over while it
+// TestNoClaimWhenLed checks that an agent does not claim when a coordinator has taken over while it
 // asked others: its claim would depose that coordinator.
-func TestLedMeanwhile(t *testing.T) {
+func TestNoClaimWhenLed(t *testing.T) {
 	s := &claimStore{ends: []services.Offset{5}, won: true}
 	a := claimAgent(s)
 	a.opts.Pool = callFunc(func(string) error {
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestClaimsRest checks that an agent takes the end of the log from the store, also a lower one,
+// TestClaimsBackOff checks that an agent takes the end of the log from the store, also a lower one,
 // and that consecutive lost claims make it back off for longer and longer.
-func TestClaimsRest(t *testing.T) {
+func TestClaimsBackOff(t *testing.T) {
 	s := &claimStore{ends: []services.Offset{9, 3, 4}}
 	a := claimAgent(s)
 	a.campaign(t.Context())
@@ -96,9 +96,9 @@
 	}
 }
 
-// TestClaimedTwice has two agents claim the same offset before and after the store was restored
-// from a copy: they must not get the same authority, and the later one must lead.
-func TestClaimedTwice(t *testing.T) {
+// TestSameOffsetClaimedTwice has two agents claim the same offset before and after the store was
+// restored from a copy: they must not get the same authority, and the later one must lead.
+func TestSameOffsetClaimedTwice(t *testing.T) {
 	s := &claimStore{ends: []services.Offset{7}, won: true, era: 1}
 	first, second := claimAgent(s), claimAgent(s)
 	before, _ := first.claim(t.Context(), nil, "g")
--- a/services/rank/counts_test.go
+++ b/services/rank/counts_test.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestSkips checks that agents of other groups are polled again only after a while: a service may
-// have many.
-func TestSkips(t *testing.T) {
+// TestSkipsForeignAgents checks that agents of other groups are polled again only after a while: a
+// service may have many.
+func TestSkipsForeignAgents(t *testing.T) {
 	c := &coordinator{foreign: map[string]time.Time{"other": begin}}
 	cases := map[string]struct {
 		agent string
--- a/services/rank/demand_test.go
+++ b/services/rank/demand_test.go
@@ -140,9 +140,9 @@
 	}
 }
 
-// TestLeastGain checks that a change must save more where loads take longer, and less where demand
+// TestMinGain checks that a change must save more where loads take longer, and less where demand
 // stays longer.
-func TestLeastGain(t *testing.T) {
+func TestMinGain(t *testing.T) {
 	gain := func(load, lasts time.Duration) float64 {
 		e := *figures
 		e.LoadTime = load
--- a/services/rank/drift_test.go
+++ b/services/rank/drift_test.go
@@ -160,7 +160,7 @@
 		},
 		"full recompute": func() strategy {
 			return every(e, slowInterval, 0, func(current *expertmap.Map, p placement.Popularity) *expertmap.Map {
-				return placement.Full(current, p, evenSpeed(c.ranks))
+				return placement.Recompute(current, p, evenSpeed(c.ranks))
 			})
 		},
 		"priced, half-life 20s": func() strategy {
--- a/services/rank/driver.go
+++ b/services/rank/driver.go
@@ -45,13 +45,13 @@
 // reconcile undoes what an earlier coordinator has left unfinished. It returns false if there was
 // nothing.
 func (d *driver) reconcile(ctx context.Context, status []services.RankStatus) bool {
-	return d.reconcileBy(ctx, mapswitch.Settle(clock.Now(), d.c.fence+1, d.self(), status), -1)
+	return d.reconcileBy(ctx, mapswitch.Resolve(clock.Now(), d.c.fence+1, d.self(), status), -1)
 }
 
 // reconcileWithout is reconcile for a group in which one rank does not answer. It reports whether
 // there was something that can be undone without that rank.
 func (d *driver) reconcileWithout(ctx context.Context, silent group.Rank, status []services.RankStatus) bool {
-	return d.reconcileBy(ctx, mapswitch.SettleWithout(clock.Now(), d.c.fence+1, d.self(), silent, status), int(silent))
+	return d.reconcileBy(ctx, mapswitch.ResolveWithout(clock.Now(), d.c.fence+1, d.self(), silent, status), int(silent))
 }
 
 func (d *driver) reconcileBy(ctx context.Context, m *mapswitch.Machine, silent int) bool {
@@ -150,10 +150,10 @@
 	tick := time.NewTicker(driveTick)
 	defer tick.Stop()
 	for !m.Ended() && ctx.Err() == nil && !d.c.lost {
-		d.dispatch(ctx, m.Sends(), answers)
+		d.dispatch(ctx, m.TakeOrders(), answers)
 		select {
 		case a := <-answers:
-			m.Answer(clock.Now(), a.send, a.answer)
+			m.HandleAnswer(clock.Now(), a.send, a.answer)
 		case <-tick.C:
 			if now := clock.Now(); !m.Holding() || now.Sub(d.c.roundBeganAt) > heldPollInterval {
 				d.observe(ctx, m)
--- a/services/rank/lead_test.go
+++ b/services/rank/lead_test.go
@@ -654,12 +654,12 @@
 	}
 }
 
-// TestLedAgain simulates stale state in agents: their own group while the restarted engine reports
-// none yet, and the end of the group's log of claims where that has restarted from empty. An agent
-// that knew its group did not ask for it again, so no agent of the group started a candidacy any
-// more (`group-leaderless group="" tries=0`). The group must have a coordinator again within some
-// seconds, with few store calls.
-func TestLedAgain(t *testing.T) {
+// TestRecoversFromStaleState simulates stale state in agents: their own group while the restarted
+// engine reports none yet, and the end of the group's log of claims where that has restarted from
+// empty. An agent that knew its group did not ask for it again, so no agent of the group started a
+// candidacy any more (`group-leaderless group="" tries=0`). The group must have a coordinator again
+// within some seconds, with few store calls.
+func TestRecoversFromStaleState(t *testing.T) {
 	const ranks = 12
 	cases := map[string]struct {
 		// before runs before the coordinator dies, and strike at that time.
@@ -720,9 +720,9 @@
 	}
 }
 
-// TestLedAfterReturn has the log of claims lose its end, and the coordinator die then or some time
-// later: another must lead as soon as after any death.
-func TestLedAfterReturn(t *testing.T) {
+// TestLedAfterStoreRestore has the log of claims lose its end, and the coordinator die then or some
+// time later: another must lead as soon as after any death.
+func TestLedAfterStoreRestore(t *testing.T) {
 	const g = group.ID("g0")
 	// cut restores the store without the latest claims; fewer is their number.
 	cut := func(d *deployment, fewer int) { d.set(func() { d.returned(g, fewer) }) }
@@ -781,9 +781,9 @@
 	}
 }
 
-// TestLedWithoutAgents has the store restored without any agent and the coordinator die at the same
-// moment: the others must find each other again, and one of them must lead all.
-func TestLedWithoutAgents(t *testing.T) {
+// TestLedAfterRestoreWithoutAgents has the store restored without any agent and the coordinator die
+// at the same moment: the others must find each other again, and one of them must lead all.
+func TestLedAfterRestoreWithoutAgents(t *testing.T) {
 	const g = group.ID("g0")
 	// pauses is the time of two back-offs of agents that reach no other, plus the lease of the
 	// coordinator. Each agent registers when its stagger delay has passed, which adds turns for
--- a/services/rank/leadership_test.go
+++ b/services/rank/leadership_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestLeaderlessNotes checks when an agent logs that its group has no coordinator: not while a
+// TestLeaderlessLog checks when an agent logs that its group has no coordinator: not while a
 // coordinator is replaced, once soon after, then rarely, and once when the group has one again.
-func TestLeaderlessNotes(t *testing.T) {
+func TestLeaderlessLog(t *testing.T) {
 	type look struct {
 		at    time.Duration
 		l     Leadership
--- a/services/rank/order_test.go
+++ b/services/rank/order_test.go
@@ -27,9 +27,9 @@
 	return e.engine.Order(ctx, o)
 }
 
-// TestOrderInChanges sends maps as changes to an agent: its engine must get the complete map, or
+// TestOrderAsChange sends maps as changes to an agent: its engine must get the complete map, or
 // nothing if the agent lacks the base map of the change.
-func TestOrderInChanges(t *testing.T) {
+func TestOrderAsChange(t *testing.T) {
 	e := &mapEngine{}
 	api := NewAPI(New(begin, Options{Engine: e, Logger: zerolog.Nop()}))
 	version := func(v expertmap.Version, first expertmap.Expert) *expertmap.Map {
@@ -83,9 +83,9 @@
 		then func(t *testing.T, api *API) *API
 		want services.RankAnswer
 		// noted is what is reported to a later coordinator.
-		noted services.RankNotes
+		noted services.AgentRecords
 	}{
-		"after the change was prepared": {want: services.RankDone, noted: services.RankNotes{Prepared: version, Announced: version}},
+		"after the change was prepared": {want: services.RankDone, noted: services.AgentRecords{Prepared: version, Announced: version}},
 		"a later coordinator was heard": {
 			then: func(t *testing.T, api *API) *API {
 				t.Helper()
@@ -95,7 +95,7 @@
 				}
 				return api
 			},
-			want: services.RankFenced, noted: services.RankNotes{Prepared: version},
+			want: services.RankFenced, noted: services.AgentRecords{Prepared: version},
 		},
 		"the agent has started anew": {
 			then: func(_ *testing.T, api *API) *API {
--- a/services/rank/rank_test.go
+++ b/services/rank/rank_test.go
@@ -150,23 +150,23 @@
 	}
 }
 
-// TestBornAgain checks that an agent discards its notes for an engine that has restarted, that
+// TestEngineRestart checks that an agent discards its notes for an engine that has restarted, that
 // restarted counts are sent in full, and that late answers of the earlier run are rejected.
-func TestBornAgain(t *testing.T) {
+func TestEngineRestart(t *testing.T) {
 	e := &engine{status: services.RankStatus{Group: "g", Born: 100, Epoch: 1, Size: 2}}
 	a := New(begin, Options{Engine: e, Logger: zerolog.Nop()})
 	a.order(services.RankOrder{Kind: services.RankArm})
-	a.notes = services.RankNotes{Prepared: 7, Announced: 7}
+	a.notes = services.AgentRecords{Prepared: 7, Announced: 7}
 	a.maps.keep(&expertmap.Map{Version: 7})
 	if a.readGroup(); a.groupOf() != "g" {
 		t.Fatal("the engine does not tell")
 	}
-	if a.notes = (services.RankNotes{Prepared: 7, Announced: 7}); len(a.maps) != 0 {
+	if a.notes = (services.AgentRecords{Prepared: 7, Announced: 7}); len(a.maps) != 0 {
 		t.Error("maps of before the first answer are kept")
 	}
 	e.status.Born, e.status.Epoch = 200, 2
 	var r Reply
-	if err := a.status(Ask{}, &r); err != nil || r.Status.Noted != (services.RankNotes{}) {
+	if err := a.status(Ask{}, &r); err != nil || r.Status.Noted != (services.AgentRecords{}) {
 		t.Errorf("noted of the run before: %+v, %v", r.Status.Noted, err)
 	}
 	e.status.Born, e.status.Rank = 100, 1
@@ -191,8 +191,9 @@
 	}
 }
 
-// TestTakeBornAgain checks that a coordinator accepts no status of an earlier run of an engine.
-func TestTakeBornAgain(t *testing.T) {
+// TestRecordRejectsEarlierRun checks that a coordinator accepts no status of an earlier run of an
+// engine.
+func TestRecordRejectsEarlierRun(t *testing.T) {
 	c := newCoordinator(New(begin, Options{Logger: zerolog.Nop()}), lead(1), services.RankStatus{Group: "g", Size: 1})
 	status := func(born upstream.Born, step group.Step) Reply {
 		return Reply{Status: services.RankStatus{Group: "g", Size: 1, Born: born, Step: step}}
@@ -300,9 +301,9 @@
 	}
 }
 
-// TestWaits checks that a coordinator does not mistake its own change, whose pass is still to
+// TestAwaitsPass checks that a coordinator does not mistake its own change, whose pass is still to
 // begin, for one that an earlier coordinator has left unfinished.
-func TestWaits(t *testing.T) {
+func TestAwaitsPass(t *testing.T) {
 	status := func(armed, used expertmap.Version) services.RankStatus {
 		return services.RankStatus{Armed: armed, Map: used, Rank: group.Rank(0)}
 	}
--- a/services/rank/surroundings_test.go
+++ b/services/rank/surroundings_test.go
@@ -31,9 +31,9 @@
 	return out, services.Place{Era: n.era}.After(len(out)), nil
 }
 
-// TestNodesAfterReturn has the store restored without some processes: a coordinator keeps the
+// TestNodesAfterStoreRestore has the store restored without some processes: a coordinator keeps the
 // agents until they are listed again, and the routers until its next read.
-func TestNodesAfterReturn(t *testing.T) {
+func TestNodesAfterStoreRestore(t *testing.T) {
 	agent := func(name string) peer.Info {
 		return peer.Info{Name: name, Role: vm.RoleAgent, Address: "at " + name, Service: "m"}
 	}
--- a/services/rank/tell.go
+++ b/services/rank/tell.go
@@ -79,7 +79,7 @@
 // Report returns to a router the load of the group that this agent coordinates; the answer is empty
 // if it coordinates none. The router may decide by itself what to send until the next report, which
 // has its quota.
-func (p *API) Report(w balance.Want, r *balance.Report) error {
+func (p *API) Report(w balance.LoadRequest, r *balance.Report) error {
 	p.a.mu.Lock()
 	c := p.a.leading
 	p.a.mu.Unlock()
@@ -90,7 +90,7 @@
 	if g == nil {
 		return nil
 	}
-	*r = c.book.Want(clock.Now(), w, *g)
+	*r = c.book.HandleLoadRequest(clock.Now(), w, *g)
 	r.Authority, r.Coordinator = uint64(c.own.Authority), p.a.opts.Self.Address
 	return nil
 }
--- a/services/relay/attempt.go
+++ b/services/relay/attempt.go
@@ -123,10 +123,10 @@
 	case x.failure != nil && !x.stream.begun && x.req.Context().Err() == nil:
 		x.write(x.failure)
 	case x.stream.begun:
-		x.finish(http.StatusOK, ReasonBrokeStream)
+		x.finish(http.StatusOK, ReasonStreamBroken)
 		panic(http.ErrAbortHandler)
 	case x.req.Context().Err() != nil:
-		x.finish(0, ReasonCallerGone)
+		x.finish(0, ReasonCallerDisconnected)
 		panic(http.ErrAbortHandler)
 	case x.mayRun && ctx.Err() != nil:
 		x.refuse(refusal{status: http.StatusGatewayTimeout, reason: ReasonDeadline})
@@ -331,7 +331,7 @@
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(got.body)))
 	x.w.WriteHeader(got.status)
 	if _, err := x.w.Write(got.body); err != nil {
-		x.finish(got.status, ReasonCallerGone)
+		x.finish(got.status, ReasonCallerDisconnected)
 		return
 	}
 	x.finish(got.status, ReasonAnswered)
--- a/services/relay/bench_test.go
+++ b/services/relay/bench_test.go
@@ -38,8 +38,8 @@
 		changes = append(changes, services.Change[upstream.Instance]{Key: string(u.ID), Value: &u})
 	}
 	r.Know(func(k *knowledge.State) {
-		k.TakeCatalogs(time.Now(), knowledge.Part[catalog.Catalog]{Whole: true, Next: place(1), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
-		k.TakeUpstreams(now, knowledge.Part[upstream.Instance]{Whole: true, Next: place(1), AsOf: now, Changes: changes})
+		k.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(1), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
+		k.ApplyUpstreams(now, knowledge.Segment[upstream.Instance]{Whole: true, Next: place(1), AsOf: now, Changes: changes})
 	})
 	return r
 }
@@ -48,7 +48,7 @@
 func report(r *Relay, now time.Time) {
 	const groups = 3
 	for g := range groups {
-		load := balance.Group{Service: "s", ID: group.ID(fmt.Sprint("g", g)), Open: true, Whole: true, Skew: 1.4, Places: balance.Places{}}
+		load := balance.Group{Service: "s", ID: group.ID(fmt.Sprint("g", g)), Open: true, Whole: true, Skew: 1.4, Places: balance.Allotment{}}
 		for i := g * benchRanks / groups; i < (g+1)*benchRanks/groups; i++ {
 			address := fmt.Sprintf("10.0.%d.1:80", i)
 			load.Ranks = append(load.Ranks, balance.RankLoad{Address: address, Running: 4, Pace: 1})
@@ -117,8 +117,8 @@
 	b.Cleanup(r.Close)
 	u := upstream.Instance{ID: "u0", Service: "s", Address: l.Addr().String(), Slots: 4, State: upstream.StateReady}
 	r.Know(func(k *knowledge.State) {
-		k.TakeCatalogs(time.Now(), catalogs(time.Now()))
-		k.TakeUpstreams(time.Now(), knowledge.Part[upstream.Instance]{Whole: true, Next: place(1), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}}})
+		k.ApplyCatalogs(time.Now(), catalogs(time.Now()))
+		k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{Whole: true, Next: place(1), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}}})
 	})
 	var began time.Time
 	front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -143,7 +143,7 @@
 		own += (<-arrived).Sub(began)
 		n++
 		r.Know(func(k *knowledge.State) {
-			k.TakeCatalogs(time.Now(), knowledge.Part[catalog.Catalog]{From: place(1), Next: place(1), AsOf: time.Now()})
+			k.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{From: place(1), Next: place(1), AsOf: time.Now()})
 		})
 	}
 	b.ReportMetric(float64(own.Microseconds())/float64(n), "own-us/op")
--- a/services/relay/clearance.go
+++ b/services/relay/clearance.go
@@ -32,8 +32,8 @@
 // localPermits grants the permits of a router that has no record of other routers.
 type localPermits struct{ ledger *quota.Ledger }
 
-// Ask implements services.Permits.
-func (a localPermits) Ask(_ context.Context, now time.Time, ask condition.Ask) (condition.Reply, error) {
+// RequestPermits implements services.PermitGrantor.
+func (a localPermits) RequestPermits(_ context.Context, now time.Time, ask condition.PermitRequest) (condition.Reply, error) {
 	return a.ledger.Give(now, ask), nil
 }
 
@@ -66,7 +66,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case !r.state.Takes(now, u.ID):
+	case !r.state.AcceptsWork(now, u.ID):
 		return condition.PermissionDenied, ErrUnavailable{Upstream: u.ID, Condition: condition.KindLeaving}
 	case r.judgeCrashes(now, x) != nil:
 		return condition.PermissionDenied, errQuarantined
@@ -91,7 +91,7 @@
 	ask := conditions.Ask(asked, u.Run())
 	permits := r.permits
 	r.mu.Unlock()
-	reply, err := permits.Ask(ctx, asked, ask)
+	reply, err := permits.RequestPermits(ctx, asked, ask)
 	if err != nil {
 		reply = quota.Denied()
 	}
@@ -105,7 +105,7 @@
 }
 
 // logPermit logs that a request was not permitted, or that the permit grantor could not be reached.
-func (r *Relay) logPermit(x *exchange, u upstream.Instance, ask condition.Ask, reply condition.Reply, took time.Duration, err error) {
+func (r *Relay) logPermit(x *exchange, u upstream.Instance, ask condition.PermitRequest, reply condition.Reply, took time.Duration, err error) {
 	if reply.Given > 0 {
 		return // the log line of the request names the upstream
 	}
@@ -122,12 +122,12 @@
 func (r *Relay) notifyLimitEnded(u upstream.Instance, x *exchange) {
 	now := clock.Now()
 	r.mu.Lock()
-	ask := condition.Ask{Run: u.Run(), Limit: r.serviceState(now, x.service).pool.Conditions().Limit(u.Run()).Told(now)}
+	ask := condition.PermitRequest{Run: u.Run(), Limit: r.serviceState(now, x.service).pool.Conditions().Limit(u.Run()).Told(now)}
 	permits := r.permits
 	r.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), condition.AskTime)
 	defer cancel()
-	if _, err := permits.Ask(ctx, now, ask); err != nil {
+	if _, err := permits.RequestPermits(ctx, now, ask); err != nil {
 		r.opts.Logger.Info().Str("upstream", string(u.ID)).Err(err).Msg("limit-end-not-told")
 	}
 }
--- a/services/relay/crashes.go
+++ b/services/relay/crashes.go
@@ -222,15 +222,15 @@
 	r.onCrash = f
 }
 
-// Crashes calls f with the register of crashes under the relay's lock.
-func (r *Relay) Crashes(f func(*quarantine.Register)) {
+// WithCrashes calls f with the register of crashes under the relay's lock.
+func (r *Relay) WithCrashes(f func(*quarantine.Register)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.crashes)
 }
 
-// Refused returns the number of requests that are refused because they crash upstreams.
-func (r *Relay) Refused(now time.Time) int {
+// RefusedCount returns the number of requests that are refused because they crash upstreams.
+func (r *Relay) RefusedCount(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.crashes.Refused(now))
--- a/services/relay/crashes_test.go
+++ b/services/relay/crashes_test.go
@@ -27,7 +27,7 @@
 // crashes returns the crashes in a relay's register.
 func crashes(r *Relay) []quarantine.Crash {
 	var out []quarantine.Crash
-	r.Crashes(func(g *quarantine.Register) { out = g.Since(time.Now(), peer.Mark{}) })
+	r.WithCrashes(func(g *quarantine.Register) { out = g.Since(time.Now(), peer.Mark{}) })
 	return out
 }
 
@@ -68,7 +68,7 @@
 func listUpstream(r *Relay, address string, state upstream.State) {
 	r.Know(func(k *knowledge.State) {
 		u := upstream.Instance{ID: "u0", Service: "s", Address: address, Slots: 4, State: state}
-		k.TakeUpstreams(time.Now(), knowledge.Part[upstream.Instance]{
+		k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{
 			From: place(1), Next: place(2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
 		})
 	})
@@ -141,7 +141,7 @@
 			f := newFake(t, func(_ int, h map[string]string, conn net.Conn) { writeAnswer(conn, h["Id"], "ok") })
 			s, r := start(t, f)
 			now := time.Now()
-			r.Crashes(func(g *quarantine.Register) {
+			r.WithCrashes(func(g *quarantine.Register) {
 				for i := range c.ends {
 					g.Add(now, quarantine.Crash{Key: askedKey("/safe/x"), Run: upstream.Run{ID: upstream.ID(fmt.Sprint("e", i))}, Age: time.Duration(c.ends-i) * time.Second})
 				}
@@ -163,13 +163,13 @@
 	}
 }
 
-// TestOutlived checks that requests which ran when connections broke are cleared as soon as the
-// same upstream answers again.
-func TestOutlived(t *testing.T) {
+// TestAnswerClearsSuspects checks that requests which ran when connections broke are cleared as
+// soon as the same upstream answers again.
+func TestAnswerClearsSuspects(t *testing.T) {
 	_, r := start(t, newFake(t, nil))
 	now := time.Now()
 	k, u := askedKey("/stream/x"), upstream.Instance{ID: "u0"}
-	r.Crashes(func(g *quarantine.Register) {
+	r.WithCrashes(func(g *quarantine.Register) {
 		g.Add(now, quarantine.Crash{Key: k, Run: upstream.Run{ID: "e"}, Lasted: 100 * time.Millisecond})
 	})
 	r.probes[u.Run()] = &probe{at: now, suspects: []suspect{{key: k, lasted: 2 * time.Second}}}
@@ -184,9 +184,9 @@
 	}
 }
 
-// TestLooksAgain checks that requests which ran when connections to an upstream broke are still
-// suspects after the connections broke once more.
-func TestLooksAgain(t *testing.T) {
+// TestSuspectsKeptAcrossProbes checks that requests which ran when connections to an upstream broke
+// are still suspects after the connections broke once more.
+func TestSuspectsKeptAcrossProbes(t *testing.T) {
 	f := newStoppableUpstream(t, func(*stoppableUpstream, net.Conn) {})
 	_, r := start(t, newFake(t, nil))
 	now, u := time.Now(), upstream.Instance{ID: "u0", Address: f.address}
--- a/services/relay/handler.go
+++ b/services/relay/handler.go
@@ -26,22 +26,22 @@
 
 // The possible reasons.
 const (
-	ReasonStarting    Reason = "no-catalog"
-	ReasonStale       Reason = "catalog-too-old"
-	ReasonNoRoute     Reason = "no-route"
-	ReasonNoKey       Reason = "key-unknown"
-	ReasonBadRequest  Reason = "request-unreadable"
-	ReasonTooLarge    Reason = "body-too-large"
-	ReasonNoRoom      Reason = "no-upstream-with-room"
-	ReasonNotRun      Reason = "upstreams-did-not-run-it"
-	ReasonUnknown     Reason = "may-have-run"
-	ReasonDeadline    Reason = "deadline"
-	ReasonLeaving     Reason = "process-leaving"
-	ReasonCallerGone  Reason = "caller-left"
-	ReasonBrokeStream Reason = "stream-broke-off"
-	ReasonAnswered    Reason = "answered"
-	ReasonCrashes     Reason = "crashes-upstreams"
-	ReasonWatched     Reason = "may-crash-upstreams"
+	ReasonStarting           Reason = "no-catalog"
+	ReasonStale              Reason = "catalog-too-old"
+	ReasonNoRoute            Reason = "no-route"
+	ReasonUnknownKey         Reason = "key-unknown"
+	ReasonBadRequest         Reason = "request-unreadable"
+	ReasonTooLarge           Reason = "body-too-large"
+	ReasonNoRoom             Reason = "no-upstream-with-room"
+	ReasonNotRun             Reason = "upstreams-did-not-run-it"
+	ReasonUnknown            Reason = "may-have-run"
+	ReasonDeadline           Reason = "deadline"
+	ReasonLeaving            Reason = "process-leaving"
+	ReasonCallerDisconnected Reason = "caller-left"
+	ReasonStreamBroken       Reason = "stream-broke-off"
+	ReasonAnswered           Reason = "answered"
+	ReasonCrashes            Reason = "crashes-upstreams"
+	ReasonWatched            Reason = "may-crash-upstreams"
 )
 
 const (
@@ -191,7 +191,7 @@
 	if index.Closed() && !x.route.Anonymous {
 		a := index.Account(x.meta.Key)
 		if a == nil {
-			return x.deny(http.StatusUnauthorized, ReasonNoKey)
+			return x.deny(http.StatusUnauthorized, ReasonUnknownKey)
 		}
 		if x.r.keyMayBeRevoked(x.age) {
 			return &refusal{status: http.StatusServiceUnavailable, reason: ReasonStale, retryAfter: retryStarting}
--- a/services/relay/limits.go
+++ b/services/relay/limits.go
@@ -17,11 +17,11 @@
 type NamedLimit struct {
 	Service service.ID
 	Run     upstream.Run
-	Limit   condition.ToldLimit
+	Limit   condition.WireLimit
 }
 
-// LimitMark returns the watermark of the limits that the router has a record of.
-func (r *Relay) LimitMark() peer.Mark {
+// LimitWatermark returns the watermark of the limits that the router has a record of.
+func (r *Relay) LimitWatermark() peer.Mark {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := peer.Mark{Start: r.start}
@@ -45,9 +45,9 @@
 	return out
 }
 
-// LearnLimits merges the limits of another router, which were requested at the time asked. It
+// MergeLimits merges the limits of another router, which were requested at the time asked. It
 // returns the number of changes.
-func (r *Relay) LearnLimits(asked time.Time, limits []NamedLimit) int {
+func (r *Relay) MergeLimits(asked time.Time, limits []NamedLimit) int {
 	now, count := clock.Now(), 0
 	for _, n := range limits {
 		changes := r.learnLimit(asked, now, n)
@@ -57,7 +57,7 @@
 	return count
 }
 
-func (r *Relay) learnLimit(asked, now time.Time, n NamedLimit) []condition.News {
+func (r *Relay) learnLimit(asked, now time.Time, n NamedLimit) []condition.Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if index := r.state.Index(); index == nil || index.Service(n.Service) == nil {
@@ -67,7 +67,7 @@
 }
 
 // logLearned logs the changes that another router's report of a limit has caused.
-func (r *Relay) logLearned(id service.ID, run upstream.Run, limit condition.ToldLimit, changes []condition.News) {
+func (r *Relay) logLearned(id service.ID, run upstream.Run, limit condition.WireLimit, changes []condition.Change) {
 	for _, n := range changes {
 		r.opts.Logger.Info().Str("condition", string(n.Kind)).Bool("ended", n.Ended).Bool("told", true).Float64("limit_per_second", float64(limit.Rate)).
 			Int64("age_ms", limit.HeardAge.Milliseconds()).Str("upstream", string(run.ID)).Int64("born", int64(run.Born)).Str("service", string(id)).Msg("upstream-notice")
--- a/services/relay/notices.go
+++ b/services/relay/notices.go
@@ -29,7 +29,7 @@
 
 // logNotice logs a change of condition. An upstream that repeats the same notice causes no further
 // line.
-func (x *exchange) logNotice(a *answer, n condition.News) {
+func (x *exchange) logNotice(a *answer, n condition.Change) {
 	event := x.r.opts.Logger.Info()
 	if n.Unread != nil {
 		event = x.r.opts.Logger.Warn().Err(n.Unread)
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -64,7 +64,7 @@
 	// probes holds the probes of upstreams whose connections broke.
 	probes map[upstream.Run]*probe
 	// permits grants permits for upstreams that limit their requests.
-	permits services.Permits
+	permits services.PermitGrantor
 	// start distinguishes this relay from earlier ones on the same VM.
 	start uint64
 }
@@ -88,7 +88,7 @@
 		runs: map[string]upstream.Run{}, crashes: quarantine.NewRegister(clock.Now()), onCrash: func() {}, running: map[quarantine.Key]int{}, probes: map[upstream.Run]*probe{},
 		permits: localPermits{quota.NewLedger()}, start: uint64(max(clock.Now().UnixNano(), 1)),
 	}
-	o.Metrics.Gauge("requests_quarantined", "Requests that are refused because upstreams ended under them.", nil, func() float64 { return float64(r.Refused(clock.Now())) })
+	o.Metrics.Gauge("requests_quarantined", "Requests that are refused because upstreams ended under them.", nil, func() float64 { return float64(r.RefusedCount(clock.Now())) })
 	r.measureConditions(o.Metrics, clock.Now)
 	return r
 }
@@ -100,15 +100,15 @@
 	f(r.state)
 }
 
-// LetsIn reports whether the catalog is fresh enough to accept callers with keys.
-func (r *Relay) LetsIn(now time.Time) bool {
+// AcceptsKeys reports whether the catalog is fresh enough to accept callers with keys.
+func (r *Relay) AcceptsKeys(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Complete() && !r.keyMayBeRevoked(r.state.CatalogAge(now))
 }
 
-// Routers sets the number of routers that callers use, this one included.
-func (r *Relay) Routers(n int) {
+// SetRouters sets the number of routers that callers use, this one included.
+func (r *Relay) SetRouters(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.routers = n
@@ -119,9 +119,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.opts.Bounds = b
-	r.state.Rebound(b.DrainTime)
+	r.state.SetDrainTime(b.DrainTime)
 	for _, svc := range r.pools {
-		svc.budget.Rebound(now, b.RetryRatio, b.RetrySlack, b.RetryWindow, r.routers)
+		svc.budget.SetLimits(now, b.RetryRatio, b.RetrySlack, b.RetryWindow, r.routers)
 	}
 }
 
@@ -139,8 +139,8 @@
 	return r.active
 }
 
-// Told is what a router adds to the load report of a group.
-type Told struct {
+// RouterLoad is what a router adds to the load report of a group.
+type RouterLoad struct {
 	// Unstarted counts the requests at each rank whose answer has not begun.
 	Unstarted balance.Unstarted
 	// Wanted is the number of requests that the router would like to send until the next report;
@@ -151,7 +151,7 @@
 	// Idle reports whether there has been no request for a while.
 	Idle bool
 	// Most bounds the number of requests that the router may send to some ranks.
-	Most balance.Most
+	Most balance.SendLimits
 	// Resting holds the addresses of the ranks that have refused the router's requests.
 	Resting []string
 }
@@ -164,15 +164,16 @@
 	r.unreported = f
 }
 
-// Share sets the permit grantor for upstreams that limit their requests, which all routers share.
-func (r *Relay) Share(p services.Permits) {
+// SetPermits sets the permit grantor for upstreams that limit their requests, which all routers
+// share.
+func (r *Relay) SetPermits(p services.PermitGrantor) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.permits = p
 }
 
 // Report applies the load of a model group, and returns what this router adds to it.
-func (r *Relay) Report(now time.Time, g balance.Group) Told {
+func (r *Relay) Report(now time.Time, g balance.Group) RouterLoad {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := service.ID(g.Service)
@@ -184,7 +185,7 @@
 	unstarted := svc.pool.Report(now, g, ids)
 	r.wake(now, svc)
 	most, resting := svc.pool.Most(now, ids)
-	return Told{
+	return RouterLoad{
 		Unstarted: unstarted, Wanted: svc.queue.Wanted(now), Waiting: svc.queue.Waiting(), Rate: svc.queue.Rate(now), Idle: len(unstarted) == 0 && svc.queue.Idle(now),
 		Most: most, Resting: resting,
 	}
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -130,8 +130,8 @@
 }
 
 // catalogs returns a full snapshot of the tests' catalog that was current at a time.
-func catalogs(asOf time.Time) knowledge.Part[catalog.Catalog] {
-	return knowledge.Part[catalog.Catalog]{Whole: true, Next: place(1), AsOf: asOf, Changes: []services.Change[catalog.Catalog]{{Value: &testCatalog}}}
+func catalogs(asOf time.Time) knowledge.Segment[catalog.Catalog] {
+	return knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(1), AsOf: asOf, Changes: []services.Change[catalog.Catalog]{{Value: &testCatalog}}}
 }
 
 // newRelay returns a relay without a catalog or upstreams.
@@ -150,13 +150,13 @@
 	r := newRelay()
 	now := time.Now()
 	r.Know(func(s *knowledge.State) {
-		s.TakeCatalogs(time.Now(), catalogs(now))
+		s.ApplyCatalogs(time.Now(), catalogs(now))
 		var list []services.Change[upstream.Instance]
 		for i, f := range fakes {
 			u := upstream.Instance{ID: upstream.ID(fmt.Sprintf("u%d", i)), Service: "s", Address: f.address, Slots: 4, State: upstream.StateReady}
 			list = append(list, services.Change[upstream.Instance]{Key: string(u.ID), Value: &u})
 		}
-		s.TakeUpstreams(now, knowledge.Part[upstream.Instance]{Whole: true, Next: place(1), AsOf: now, Changes: list})
+		s.ApplyUpstreams(now, knowledge.Segment[upstream.Instance]{Whole: true, Next: place(1), AsOf: now, Changes: list})
 	})
 	s := httptest.NewServer(r)
 	t.Cleanup(func() { s.Close(); r.Close() })
@@ -331,9 +331,9 @@
 			r.Rebound(time.Now(), bounds)
 			r.Know(func(k *knowledge.State) {
 				*k = *knowledge.New(2 * time.Second)
-				k.TakeCatalogs(time.Now(), catalogs(time.Now().Add(-c.age)))
+				k.ApplyCatalogs(time.Now(), catalogs(time.Now().Add(-c.age)))
 				u := upstream.Instance{ID: "u0", Service: "s", Address: f.address, Slots: 4, State: upstream.StateReady}
-				k.TakeUpstreams(time.Now(), knowledge.Part[upstream.Instance]{
+				k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{
 					Whole: true, Next: place(1), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
 				})
 			})
@@ -345,15 +345,16 @@
 	}
 }
 
-// TestBornAgain checks that no request is sent on a connection to an earlier run of an upstream.
-func TestBornAgain(t *testing.T) {
+// TestNoRequestOnConnectionToEarlierRun checks that no request is sent on a connection to an
+// earlier run of an upstream.
+func TestNoRequestOnConnectionToEarlierRun(t *testing.T) {
 	f := newFake(t, func(_ int, h map[string]string, conn net.Conn) { writeAnswer(conn, h["Id"], "ok") })
 	s, r := start(t, f)
-	r.Know(func(k *knowledge.State) { k.TakeCatalogs(time.Now(), catalogs(time.Now())) })
+	r.Know(func(k *knowledge.State) { k.ApplyCatalogs(time.Now(), catalogs(time.Now())) })
 	for i, born := range []upstream.Born{0, 0, 200} {
 		r.Know(func(k *knowledge.State) {
 			u := upstream.Instance{ID: "u0", Born: born, Service: "s", Address: f.address, Slots: 4, State: upstream.StateReady}
-			k.TakeUpstreams(time.Now(), knowledge.Part[upstream.Instance]{
+			k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{
 				Whole: true, Next: place(services.Offset(i) + 2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
 			})
 		})
@@ -370,8 +371,9 @@
 	}
 }
 
-// TestCallerLeaves checks that an upstream's connection is closed when the caller's connection is.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerDisconnects checks that an upstream's connection is closed when the caller's connection
+// is.
+func TestCallerDisconnects(t *testing.T) {
 	begun := make(chan struct{})
 	f := newFake(t, func(int, map[string]string, net.Conn) { close(begun) })
 	s, _ := start(t, f)
@@ -397,7 +399,7 @@
 	s, r := start(t, f)
 	r.Know(func(k *knowledge.State) {
 		u := upstream.Instance{ID: "u0", Service: "s", Address: f.address, Slots: 4, State: upstream.StateLeaving}
-		k.TakeUpstreams(time.Now(), knowledge.Part[upstream.Instance]{
+		k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{
 			From: place(1), Next: place(2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
 		})
 	})
@@ -410,9 +412,9 @@
 	}
 }
 
-// TestLeave checks that a router that was ordered to stop goes on serving, announces that the
-// connection closes, and after some time accepts no more streams.
-func TestLeave(t *testing.T) {
+// TestStopRequested checks that a router that was ordered to stop goes on serving, announces that
+// the connection closes, and after some time accepts no more streams.
+func TestStopRequested(t *testing.T) {
 	f := newFake(t, func(_ int, h map[string]string, c net.Conn) { writeAnswer(c, h["Id"], "ok") })
 	s, r := start(t, f)
 	r.Leave(time.Now().Add(-streamGrace - time.Second))
@@ -448,7 +450,7 @@
 	c.Version, c.Services = 4, []catalog.Service{{ID: "s", Engine: &catalog.Engine{Slots: 4}}}
 	var addresses []string
 	r.Know(func(s *knowledge.State) {
-		s.TakeCatalogs(time.Now(), knowledge.Part[catalog.Catalog]{Whole: true, Next: place(2), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
+		s.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(2), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
 		for _, u := range s.Usable(now, "s") {
 			addresses = append(addresses, u.Address)
 		}
--- a/services/relay/suspend_test.go
+++ b/services/relay/suspend_test.go
@@ -42,9 +42,9 @@
 			s, r := start(t, f)
 			r.Know(func(k *knowledge.State) {
 				*k = *knowledge.New(time.Minute)
-				k.TakeCatalogs(time.Now(), catalogs(clock.Now().Add(-time.Second)))
+				k.ApplyCatalogs(time.Now(), catalogs(clock.Now().Add(-time.Second)))
 				u := upstream.Instance{ID: "u0", Service: "s", Address: f.address, Slots: 4, State: upstream.StateReady}
-				k.TakeUpstreams(clock.Now(), knowledge.Part[upstream.Instance]{
+				k.ApplyUpstreams(clock.Now(), knowledge.Segment[upstream.Instance]{
 					Whole: true, Next: place(1), AsOf: clock.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
 				})
 			})
@@ -53,7 +53,7 @@
 			}
 			vm.Suspend(c.suspended)
 			if c.confirmed {
-				r.Know(func(k *knowledge.State) { k.TakeCatalogs(time.Now(), catalogs(clock.Now())) })
+				r.Know(func(k *knowledge.State) { k.ApplyCatalogs(time.Now(), catalogs(clock.Now())) })
 			}
 			if status, _, _, _ := get(t.Context(), t, s, "/unsafe/x", nil); status != c.status {
 				t.Errorf("status %d, want %d", status, c.status)
--- a/services/relay/waiting.go
+++ b/services/relay/waiting.go
@@ -105,7 +105,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	svc := r.serviceState(now, x.service)
-	return svc.queue.AfterNotRun(now, r.admissionRequest(now, svc, x), r.state.Usable(now, x.service))
+	return svc.queue.RetryAfterNotRun(now, r.admissionRequest(now, svc, x), r.state.Usable(now, x.service))
 }
 
 // wake admits waiting requests while there is room. The caller holds the lock.
--- a/services/routing/pick_test.go
+++ b/services/routing/pick_test.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestNeverAllShut checks that slowness alone never leaves a service without an upstream, and that
-// a group that has recovered is readmitted gradually.
-func TestNeverAllShut(t *testing.T) {
+// TestNeverAllEjected checks that slowness alone never leaves a service without an upstream, and
+// that a group that has recovered is readmitted gradually.
+func TestNeverAllEjected(t *testing.T) {
 	tr, cands := twoGroups()
 	for i := range 4 {
 		tr.Report(id(i), Report{At: epoch.Add(time.Second), Concurrency: 8, Step: 2, StepTime: time.Duration(1+i) * time.Second})
@@ -132,8 +132,8 @@
 	}
 }
 
-// TestRankMovesLittle checks that the removal of a router moves only its own accounts.
-func TestRankMovesLittle(t *testing.T) {
+// TestRankIsStable checks that the removal of a router moves only its own accounts.
+func TestRankIsStable(t *testing.T) {
 	var all []Entry
 	for i := range 6 {
 		all = append(all, Entry{ID: fmt.Sprint("router-", i), DataCentre: "a"})
--- a/services/share/queue.go
+++ b/services/share/queue.go
@@ -36,7 +36,7 @@
 	ReasonFull     Reason = "queue-full"
 	ReasonDeadline Reason = "deadline-unreachable"
 	ReasonNoShare  Reason = "no-share"
-	ReasonPushed   Reason = "over-share"
+	ReasonEvicted  Reason = "over-share"
 )
 
 // Refusal is the final answer to a request that will not run here.
@@ -247,7 +247,7 @@
 	last := f.waiting[len(f.waiting)-1]
 	f.waiting = f.waiting[:len(f.waiting)-1]
 	q.removedWaiting(worst, f)
-	return Refusal{Ticket: last.Ticket, Reason: ReasonPushed, RetryAfter: q.retryAfter(f)}, true
+	return Refusal{Ticket: last.Ticket, Reason: ReasonEvicted, RetryAfter: q.retryAfter(f)}, true
 }
 
 // Next returns the requests that start now, and refuses those whose deadline has passed.
--- a/services/share/queue_test.go
+++ b/services/share/queue_test.go
@@ -126,7 +126,7 @@
 	}{
 		"no share":    {func(*Queue) {}, Item{Ticket: 99, Account: "nobody"}, ReasonNoShare},
 		"full":        {func(q *Queue) { fill(q, "large", 5) }, Item{Ticket: 99, Account: "large"}, ReasonFull},
-		"pushed out":  {func(q *Queue) { fill(q, "large", 5) }, Item{Ticket: 99, Account: "small"}, ReasonPushed},
+		"pushed out":  {func(q *Queue) { fill(q, "large", 5) }, Item{Ticket: 99, Account: "small"}, ReasonEvicted},
 		"unreachable": {func(q *Queue) { fill(q, "large", 3) }, Item{Ticket: 99, Account: "large", Deadline: epoch.Add(time.Millisecond)}, ReasonDeadline},
 	}
 	for name, tc := range cases {
@@ -138,7 +138,7 @@
 			if len(got) != 1 || got[0].Reason != tc.want || got[0].RetryAfter <= 0 {
 				t.Errorf("refusals %+v, want %s with advice", got, tc.want)
 			}
-			if (tc.want == ReasonPushed) == (got[0].Ticket == tc.item.Ticket) {
+			if (tc.want == ReasonEvicted) == (got[0].Ticket == tc.item.Ticket) {
 				t.Errorf("refused request %d", got[0].Ticket)
 			}
 		})
