--- a/services/admission/admission_test.go
+++ b/services/admission/admission_test.go
@@ -58,7 +58,7 @@
 				t.Errorf("waits %s, want %s", got, c.want)
 			}
 			if room := q.retryAfter(now, x, 0); c.broken && room < engine.FormTime+listingDelay {
-				t.Errorf("told to come back after %s, before the group has formed", room)
+				t.Errorf("retry time %s ends before the group has formed", room)
 			}
 		})
 	}
@@ -156,10 +156,10 @@
 	q := NewQueue(balance.NewPool(""))
 	q.firstArrival = now
 	if !q.isRetry(now, x) {
-		t.Error("the first caller with little patience was taken for a new one")
+		t.Error("the first caller with a short timeout was not treated as a retry")
 	}
 	if q.isRetry(now.Add(learningPeriod), x) {
-		t.Error("callers of a route with a long time-out were taken for ones that come again")
+		t.Error("a caller of a route with a long timeout was treated as a retry")
 	}
 }
 
@@ -177,7 +177,7 @@
 	later := now.Add(rateWindow + 1)
 	q.pool.Report(later, open, nil)
 	if got := q.queueWait(later, e, b); got < 20*time.Second {
-		t.Errorf("forecast %s although nobody was let in for a second", got)
+		t.Errorf("forecast %s although no request was admitted for a second", got)
 	}
 }
 
@@ -204,7 +204,7 @@
 				q.pool.Report(now, g, nil)
 			}
 			if got := q.reopening(now, &Request{Deadline: now.Add(c.left)}, engine); got != c.want {
-				t.Errorf("told %s, want %s", got, c.want)
+				t.Errorf("retry time %s, want %s", got, c.want)
 			}
 		})
 	}
@@ -240,15 +240,15 @@
 			q := &Queue{waiting: c.waiting}
 			got := q.next(now, nil)
 			if got != c.waiting[c.want] {
-				t.Errorf("%d is let in, want %d", slices.Index(c.waiting, got), c.want)
+				t.Errorf("request %d is admitted, want %d", slices.Index(c.waiting, got), c.want)
 			}
 			if second := q.next(now, []*Request{got}); second == got {
-				t.Error("a request that was passed over is let in")
+				t.Error("a request that was passed over is admitted")
 			}
 		})
 	}
 	if got := (&Queue{}).next(now, nil); got != nil {
-		t.Error("somebody is let in although nobody waits")
+		t.Error("a request is admitted from an empty queue")
 	}
 }
 
@@ -303,7 +303,7 @@
 				t.Errorf("%s, want %s", v.Outcome, c.want)
 			}
 			if v.Outcome == OutcomeRejected && v.RetryAfter < c.opening {
-				t.Errorf("told to come back after %s, the upstream takes a request after %s", v.RetryAfter, c.opening)
+				t.Errorf("retry time %s, but the upstream accepts requests only after %s", v.RetryAfter, c.opening)
 			}
 		})
 	}
--- a/services/balance/allotment_test.go
+++ b/services/balance/allotment_test.go
@@ -33,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			got := NewAllotter().Allot(c.ranks, c.bounds, c.outstanding, []Demand{{Router: "r"}}, nil)["r"]
 			if fmt.Sprint(got) != fmt.Sprint(c.want) {
-				t.Errorf("places %v, want %v", got, c.want)
+				t.Errorf("allotment %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -51,14 +51,14 @@
 		}
 	}
 	if got["busy"] != 360 || got["quiet"] != 20 || got["other"] != 20 {
-		t.Errorf("400 places were parted %v", got)
+		t.Errorf("400 allotted requests were divided as %v", got)
 	}
 	a.Allot([]RankLoad{{Address: "a"}}, Bounds{Rank: 12, Mean: 12}, nil, demands[:1], nil)
 	if len(a.credit) != 1 {
-		t.Errorf("routers that have gone are remembered: %v", a.credit)
+		t.Errorf("removed routers still have credit: %v", a.credit)
 	}
 	if out := a.Allot(nil, Bounds{Rank: 12, Mean: 12}, nil, demands, nil); len(out) != 3 || out["quiet"] == nil {
-		t.Errorf("without ranks routers must be told that they may send nothing: %v", out)
+		t.Errorf("allotments without ranks are %v, want an empty one for each router", out)
 	}
 }
 
@@ -160,10 +160,10 @@
 	fullest, sent := play(true)
 	alone, sentAlone := play(false)
 	if fullest > most || alone <= most {
-		t.Errorf("the fullest rank has %d requests with places, %d without; %d are allowed", fullest, alone, most)
+		t.Errorf("the fullest rank has %d requests with allotments, %d without; %d are allowed", fullest, alone, most)
 	}
 	if 10*sent < 8*sentAlone {
-		t.Errorf("%d requests were sent with places, %d without", sent, sentAlone)
+		t.Errorf("%d requests were sent with allotments, %d without", sent, sentAlone)
 	}
 }
 
@@ -189,7 +189,7 @@
 			places := NewAllotter().Allot(ranks, Bounds{Rank: 2, Mean: 2}, Allotment{}, []Demand{{Router: "r", Requests: 9}}, nil)["r"]
 			for i, r := range ranks {
 				if places[r.Address] != tc.want[i] {
-					t.Errorf("rank %d gets %d places, want %d", i, places[r.Address], tc.want[i])
+					t.Errorf("rank %d is allotted %d requests, want %d", i, places[r.Address], tc.want[i])
 				}
 			}
 		})
@@ -215,7 +215,7 @@
 		t.Run(name, func(t *testing.T) {
 			got := NewAllotter().Allot(ranks, Bounds{Rank: 5, Mean: 4}, nil, c.demands, nil)
 			if fmt.Sprint(got) != fmt.Sprint(c.want) {
-				t.Errorf("places %v, want %v", got, c.want)
+				t.Errorf("allotment %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/services/balance/balance_test.go
+++ b/services/balance/balance_test.go
@@ -61,7 +61,7 @@
 			}
 		}
 		if len(retries) == 0 {
-			t.Error("nobody may ever retry")
+			t.Error("no retry was allowed")
 		}
 	}
 }
@@ -299,7 +299,7 @@
 	after := before
 	after.Born = 200
 	if _, ok := p.Pick(begin, []upstream.Instance{after}, ask); !ok {
-		t.Error("an upstream that has started again was not chosen")
+		t.Error("a restarted upstream was not chosen")
 	}
 	p.Sent(begin, after.Run())
 	p.Done(begin, before.Run(), ResultError, 0, false)
--- a/services/balance/report_test.go
+++ b/services/balance/report_test.go
@@ -142,7 +142,7 @@
 		})
 	}
 	if got := list.UnpackLimits(map[int]uint{-1: 1, 3: 1}); len(got) != 0 {
-		t.Errorf("read %v of places beyond the list", got)
+		t.Errorf("read %v from positions outside the list", got)
 	}
 	if got := list.UnpackRanks(append(list.PackRanks([]string{"c", "z", "a"}), -1, 3)); fmt.Sprint(got) != "[c a]" {
 		t.Errorf("read ranks %v, want c and a", got)
--- a/services/balance/router_registry_test.go
+++ b/services/balance/router_registry_test.go
@@ -28,7 +28,7 @@
 	names := []peer.Info{{Name: "a"}, {Name: "b"}}
 	first, places := b.Report(at(0), names, ranks, bounds)
 	if len(places) != 0 {
-		t.Errorf("routers that have never answered got places %v", places)
+		t.Errorf("routers that have never answered got allotments %v", places)
 	}
 	answer := func(ms int, name string, report uint64, unstarted uint, wanted int) {
 		_, list := b.Pack(name, Group{Ranks: ranks})
@@ -38,11 +38,11 @@
 	answer(5, "b", first, 0, 0)
 	second, places := b.Report(at(70), names, ranks, bounds)
 	if sum(places) != 8 || places["a"]["e"] <= places["b"]["e"] {
-		t.Errorf("places %v, want 8, most of them for the busy router", places)
+		t.Errorf("allotments %v, want 8 requests, most of them for the busy router", places)
 	}
 	answer(75, "a", second, 1, 3)
 	if _, places = b.Report(at(140), names, ranks, bounds); sum(places) != 0 {
-		t.Errorf("places %v, but all may be in use", places)
+		t.Errorf("allotments %v, want none: all slots may be in use", places)
 	}
 	if n := b.Unstarted(at(140), "e"); n != 1 {
 		t.Errorf("%d requests have not begun, want 1", n)
@@ -55,13 +55,13 @@
 	}
 	_, places = b.Report(at(1100), names, ranks, bounds)
 	if got, ok := places["a"]; !ok || got["e"] != 8 {
-		t.Errorf("places %v: those of a router that has fallen silent must come back", places)
+		t.Errorf("allotments %v: those of a router that no longer answers must be allotted again", places)
 	}
 	if _, ok := places["b"]; ok {
-		t.Error("a router that has fallen silent got places")
+		t.Error("a router that no longer answers got an allotment")
 	}
 	if _, places = b.Report(at(1110), names, ranks, nil); places != nil {
-		t.Errorf("places %v without bounds", places)
+		t.Errorf("allotments %v without bounds, want nil", places)
 	}
 }
 
@@ -103,7 +103,7 @@
 			t.Errorf("%s: list carried: %t, want %t", step.what, carried, step.carried)
 		}
 		if i > 0 && places == nil {
-			t.Errorf("%s: no places", step.what)
+			t.Errorf("%s: no allotment", step.what)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 	}
 	b := NewBook(1)
 	if got := b.Targets(begin, routers(fullBroadcastMax)); len(got) != fullBroadcastMax {
-		t.Errorf("%d of %d routers are told", len(got), fullBroadcastMax)
+		t.Errorf("the report goes to %d of %d routers", len(got), fullBroadcastMax)
 	}
 	many := routers(149)
 	reports := map[string]int{}
@@ -130,7 +130,7 @@
 		}
 	}
 	if len(reports) != len(many) {
-		t.Errorf("a new coordinator has told %d routers after %d looks", len(reports), initialRounds)
+		t.Errorf("a new coordinator has reported to %d routers after %d rounds", len(reports), initialRounds)
 	}
 	b.HandleLoadRequest(begin, LoadRequest{Router: many[7]}, Group{})
 	b.Answered(begin, many[8], 1, RankList{}, ReportReply{Idle: true})
@@ -141,7 +141,7 @@
 		}
 	}
 	if reports["r7"] != rotationRounds || reports["r8"] > 2 || len(reports) < len(many)-1 {
-		t.Errorf("the router with requests was told %d times in %d looks, an idle one %d times, %d in all", reports["r7"], rotationRounds, reports["r8"], len(reports))
+		t.Errorf("the router with requests got %d reports in %d rounds, an idle one %d; %d routers got one", reports["r7"], rotationRounds, reports["r8"], len(reports))
 	}
 	reports = map[string]int{}
 	for round := range rotationRounds {
@@ -150,7 +150,7 @@
 		}
 	}
 	if reports["r7"] > 2 {
-		t.Errorf("a router that has been idle for long is still told %d times", reports["r7"])
+		t.Errorf("a router that has long been idle still got %d reports", reports["r7"])
 	}
 }
 
--- a/services/condition/limit_test.go
+++ b/services/condition/limit_test.go
@@ -69,6 +69,6 @@
 		})
 	}
 	if got := (Limit{}).Told(at(0)).At(at(0), at(10)); got != (Limit{}) {
-		t.Errorf("a word that there is not became %+v", got)
+		t.Errorf("an unknown limit became %+v after the transfer", got)
 	}
 }
--- a/services/condition/register_test.go
+++ b/services/condition/register_test.go
@@ -55,11 +55,11 @@
 	g.Forget(now.Add(unlistedRetention), map[upstream.Run]bool{run: true})
 	g.Forget(now.Add(2*unlistedRetention), nil)
 	if n := g.Counts(now)[KindLeaving]; n != 1 {
-		t.Errorf("%d upstreams leave after the entry has come back, want 1", n)
+		t.Errorf("%d upstreams are leaving after the entry was listed again, want 1", n)
 	}
 	g.Forget(now.Add(4*unlistedRetention), nil)
 	if n := g.Counts(now)[KindLeaving]; n != 0 {
-		t.Errorf("%d upstreams leave long after the entry has gone, want 0", n)
+		t.Errorf("%d upstreams are leaving long after the entry was removed, want 0", n)
 	}
 }
 
@@ -129,9 +129,9 @@
 	g.Full(at(0), run)
 	g.Note(at(0), at(0), run, upstream.Notice{Rest: time.Second})
 	if g.Forget(at(900), listed); g.Empty() {
-		t.Error("an upstream that rests was forgotten")
+		t.Error("the record of an upstream that is backing off was dropped")
 	}
 	if g.Forget(at(1000), listed); !g.Empty() {
-		t.Error("an upstream is remembered whose rest is over")
+		t.Error("the record of an upstream is kept after its back-off has ended")
 	}
 }
--- a/services/election/election_test.go
+++ b/services/election/election_test.go
@@ -63,7 +63,7 @@
 	c.Receive(begin, Lead{Group: "g", Authority: 3, Lease: time.Second})
 	c.SetClaimed(7)
 	if c.Claimed() != 7 || c.Highest() != 3 {
-		t.Errorf("claimed %d, heard %d, want 7 and 3", c.Claimed(), c.Highest())
+		t.Errorf("claimed %d, received %d, want 7 and 3", c.Claimed(), c.Highest())
 	}
 	if lead, age, led := c.CurrentLead(begin.Add(time.Second)); !led || lead.Authority != 3 || age != time.Second {
 		t.Errorf("led by %d: %t", lead.Authority, led)
@@ -76,7 +76,7 @@
 	}
 	c.SetClaimed(5)
 	if c.Claimed() != 5 {
-		t.Errorf("claimed %d after the store has told of 5", c.Claimed())
+		t.Errorf("claimed %d after the store has reported 5", c.Claimed())
 	}
 }
 
@@ -88,29 +88,29 @@
 	c.SetRank(begin, "g", 0, 12)
 	now := begin.Add(2 * time.Second)
 	if !c.Receive(now.Add(-900*time.Millisecond), l) {
-		t.Error("a coordinator was not heard through another agent")
+		t.Error("a lead relayed by another agent was ignored")
 	}
 	if _, age, led := c.CurrentLead(now); !led || age != 900*time.Millisecond {
-		t.Errorf("led %t, heard %s ago", led, age)
+		t.Errorf("led %t, last contact %s ago", led, age)
 	}
 	if _, _, led := c.CurrentLead(now.Add(101 * time.Millisecond)); led {
-		t.Error("what others tell made a lease longer")
+		t.Error("a relayed lead extended the lease")
 	}
 	c.Receive(now, l)
 	c.Receive(now.Add(-time.Millisecond), l)
 	if _, age, _ := c.CurrentLead(now); age != 0 {
-		t.Errorf("older news took the place of newer: heard %s ago", age)
+		t.Errorf("an older lead replaced a newer one: last contact %s ago", age)
 	}
 	c.Ended(now, 3)
 	if c.Receive(now.Add(time.Millisecond), l) {
-		t.Error("an agent that coordinates no longer was told that it does")
+		t.Error("the lead of a coordinator that has ended was accepted")
 	}
 	if _, _, led := c.CurrentLead(now); led {
 		t.Error("led by a coordinator that has ended")
 	}
 	l.Authority = 4
 	if !c.Receive(now, l) {
-		t.Error("the next coordinator was not heard")
+		t.Error("the lead of the next coordinator was ignored")
 	}
 	c.Ended(now, 3)
 	if _, _, led := c.CurrentLead(now); !led {
@@ -123,22 +123,22 @@
 func TestForeignGroups(t *testing.T) {
 	c := New(begin)
 	if c.Receive(begin, Lead{Group: "a", Authority: 9}) || c.Highest() != 0 {
-		t.Error("a coordinator was heard before the group was known")
+		t.Error("a lead was accepted before the group was known")
 	}
 	c.SetRank(begin, "b", 3, 12)
 	if c.Receive(begin, Lead{Group: "a", Authority: 9}) || c.Highest() != 0 || c.Claimed() != 0 {
-		t.Error("a coordinator of another group was heard")
+		t.Error("the lead of another group's coordinator was accepted")
 	}
 	if !c.Receive(begin, Lead{Group: "b", Authority: 4, Lease: time.Second}) {
-		t.Error("the own coordinator was not heard")
+		t.Error("the lead of the own coordinator was ignored")
 	}
 	c.Failed(begin)
 	c.SetRank(begin.Add(time.Millisecond), "a", 0, 12)
 	if c.Highest() != 0 || c.Claimed() != 0 {
-		t.Errorf("of the former group %d and %d are known", c.Highest(), c.Claimed())
+		t.Errorf("authorities %d and %d of the former group are kept", c.Highest(), c.Claimed())
 	}
 	if c.Due(begin.Add(minBackoff)) || !c.Due(begin.Add(startupTimeout+2*time.Millisecond)) {
-		t.Error("an agent of another group does not wait for its coordinator, or for the end of its rest")
+		t.Error("an agent of another group does not wait for its coordinator, or for the end of its back-off")
 	}
 }
 
--- a/services/entry/entry_test.go
+++ b/services/entry/entry_test.go
@@ -123,7 +123,7 @@
 		t.Errorf("took %q, want %q; failures %v", got, want, failures)
 	}
 	if !slices.Equal(notified, []services.Place{place(4), place(5), place(9)}) {
-		t.Errorf("told the others up to %v, want each time that more was known", notified)
+		t.Errorf("notified the others at %v, want one notification for each advance", notified)
 	}
 }
 
@@ -172,7 +172,7 @@
 	f.pullIfAhead("b", FeedProgress{Known: true, Next: 5})
 	answers <- nil
 	if p := <-taken; p.Next != place(5) {
-		t.Errorf("took news up to %s", p.Next)
+		t.Errorf("applied a segment up to %s", p.Next)
 	}
 	f.pullIfAhead("c", FeedProgress{Known: true, Next: 8})
 	answers <- errors.New("no answer")
--- a/services/entry/permits_test.go
+++ b/services/entry/permits_test.go
@@ -42,7 +42,7 @@
 	knowGroups(time.Now(), rb, "g")
 	a.becomeReady()
 	if n := ra.MergeLimits(time.Now(), []relay.NamedLimit{limitOf(run, 2), {Service: "unknown", Run: run, Limit: limitOf(run, 1).Limit}}); n != 1 {
-		t.Errorf("%d news, want 1: nothing is known of the other service", n)
+		t.Errorf("%d limits merged, want 1: the other service is unknown", n)
 	}
 	until(t, "router b told of the limit", func() bool { return knows(rb, run) })
 	_, rc, _ := router(t, "c", address)
--- a/services/entry/return_test.go
+++ b/services/entry/return_test.go
@@ -513,9 +513,9 @@
 					// The full feed is read by the chosen reader, and by few others before they
 					// receive its updates.
 					if snapshots > 4 {
-						t.Errorf("%d whole reads by %d routers", snapshots, routers)
+						t.Errorf("%d full reads by %d routers", snapshots, routers)
 					}
-					t.Logf("right after %s, %d calls of the store in 3 s, %d of them whole reads", took.Round(time.Millisecond), calls, snapshots)
+					t.Logf("right after %s, %d calls of the store in 3 s, %d of them full reads", took.Round(time.Millisecond), calls, snapshots)
 				})
 			})
 		}
--- a/services/knowledge/knowledge_test.go
+++ b/services/knowledge/knowledge_test.go
@@ -122,7 +122,7 @@
 				t.Errorf("%d usable, want %d", got, c.usable)
 			}
 			if got := s.AcceptsWork(now, "a"); got != c.takesA {
-				t.Errorf("a takes work: %t, want %t", got, c.takesA)
+				t.Errorf("a accepts work: %t, want %t", got, c.takesA)
 			}
 		})
 	}
@@ -164,7 +164,7 @@
 			}
 			for _, id := range []upstream.ID{"a", "b"} {
 				if s.AcceptsWork(now, id) && !strings.Contains(c.want, string(id)) && name != "the address goes to another service" {
-					t.Errorf("%s takes work", id)
+					t.Errorf("%s accepts work", id)
 				}
 			}
 		})
--- a/services/knowledge/proof_test.go
+++ b/services/knowledge/proof_test.go
@@ -48,11 +48,11 @@
 		"two returns": {
 			{100, read(0, 90, 5), 90}, {5000, read(1, 4990, 3), 90}, {6500, read(2, 6490, 3), 90}, {7010, read(2, 7000), 90}, {8510, read(2, 8500), 8500},
 		},
-		"a start after a return":            {{100, read(4, 90, 5), never}, {2050, read(4, 2040), never}, {2110, read(4, 2100), 2100}},
-		"a start beside who knows":          {{100, vouched(read(4, 90, 5), 5, 60), 60}},
-		"who vouches for a later version":   {{100, vouched(read(4, 90, 5), 6, 60), never}, {200, vouched(read(4, 190, 6), 6, 150), 150}},
-		"who vouches for an older one":      {{100, read(0, 90, 5), 90}, {200, vouched(read(1, 190, 3), 4, 150), 150}},
-		"a first part that says nothing": {{100, Segment[catalog.Catalog]{From: at(1, 3), Next: at(1, 3), AsOf: ms(90)}, never}},
+		"a start after a return":          {{100, read(4, 90, 5), never}, {2050, read(4, 2040), never}, {2110, read(4, 2100), 2100}},
+		"a start beside who knows":        {{100, vouched(read(4, 90, 5), 5, 60), 60}},
+		"who vouches for a later version": {{100, vouched(read(4, 90, 5), 6, 60), never}, {200, vouched(read(4, 190, 6), 6, 150), 150}},
+		"who vouches for an older one":    {{100, read(0, 90, 5), 90}, {200, vouched(read(1, 190, 3), 4, 150), 150}},
+		"a first part that says nothing":  {{100, Segment[catalog.Catalog]{From: at(1, 3), Next: at(1, 3), AsOf: ms(90)}, never}},
 		"an era that is told for the first time": {
 			{100, read(0, 90, 5), 90}, {1000, read(7, 990, 5), 90}, {3010, read(7, 3000), 3000},
 		},
--- a/services/peer/gossip_test.go
+++ b/services/peer/gossip_test.go
@@ -417,7 +417,7 @@
 				c.begin(m)
 				m.advance(4 * time.Second)
 				if missing := m.missing(); missing > c.missing {
-					t.Errorf("seed %d: %.3f of the pairs do not know each other", seed, missing)
+					t.Errorf("seed %d: %.3f of the pairs have no record of each other", seed, missing)
 				}
 				before := m.sum((*node).countEntries)
 				c.end(m)
--- a/services/quarantine/register_test.go
+++ b/services/quarantine/register_test.go
@@ -148,13 +148,13 @@
 	}
 	now := testStart.Add(time.Hour / 60)
 	if got := len(r.Since(now, peer.Mark{Start: 1, Position: 1 << 40})); got != maxKeys {
-		t.Errorf("%d requests are told to one that knows another register, want %d", got, maxKeys)
+		t.Errorf("%d crash records for a watermark of another register, want %d", got, maxKeys)
 	}
 	if len(r.runs) > maxRuns {
-		t.Errorf("%d runs are remembered, want %d at most", len(r.runs), maxRuns)
+		t.Errorf("%d runs are kept, want %d at most", len(r.runs), maxRuns)
 	}
 	if got := r.Since(now, r.Mark()); len(got) != 0 {
-		t.Errorf("%d are told although nothing is new", len(got))
+		t.Errorf("%d crash records although none has changed", len(got))
 	}
 }
 
--- a/services/quota/ledger_test.go
+++ b/services/quota/ledger_test.go
@@ -60,10 +60,10 @@
 	l := NewLedger()
 	r := l.Give(begin, ask(1, 1))
 	if r.Given != 0 || r.Again != time.Second {
-		t.Errorf("given %d, again after %s, want a permit after a second", r.Given, r.Again)
+		t.Errorf("granted %d, retry after %s, want a permit after a second", r.Given, r.Again)
 	}
 	if r := l.Give(begin.Add(r.Again), ask(1, 1)); r.Given != 1 {
-		t.Errorf("given %d after a second, want 1", r.Given)
+		t.Errorf("granted %d after a second, want 1", r.Given)
 	}
 }
 
@@ -76,11 +76,11 @@
 	}
 	for after := 500 * time.Millisecond; after < maxRetryAfter; after += 500 * time.Millisecond {
 		if retryTimes[after] != 1 {
-			t.Errorf("%d routers are told %s, want 1", retryTimes[after], after)
+			t.Errorf("%d routers got the retry time %s, want 1", retryTimes[after], after)
 		}
 	}
 	if retryTimes[maxRetryAfter] != 93 {
-		t.Errorf("%d routers are told %s, want all others", retryTimes[maxRetryAfter], maxRetryAfter)
+		t.Errorf("%d routers got the retry time %s, want all others", retryTimes[maxRetryAfter], maxRetryAfter)
 	}
 }
 
@@ -96,13 +96,13 @@
 		t.Error("an end that may be older than the limit has ended it")
 	}
 	if r := l.Give(begin.Add(time.Second), end); r.Limit.Named || r.Given != 0 {
-		t.Errorf("the limit is in force after its end, or %d permits were given that nobody wanted", r.Given)
+		t.Errorf("the limit is in force after its end, or %d permits were granted without a request for any", r.Given)
 	}
 	if r := l.Give(begin.Add(time.Second), old); r.Limit.Named || r.Given != 1 {
-		t.Errorf("a router with an old word was told that the limit is in force: %t, and given %d", r.Limit.Named, r.Given)
+		t.Errorf("a router with an old record of the limit got: limit in force %t, %d permits; want false, 1", r.Limit.Named, r.Given)
 	}
 	if r := l.Give(begin.Add(3*time.Second), ask(1, 1)); !r.Limit.Named || r.Given != 0 {
-		t.Errorf("the limit is in force again: %t, want true; %d permits were given", r.Limit.Named, r.Given)
+		t.Errorf("the limit is in force again: %t, want true; %d permits were granted, want 0", r.Limit.Named, r.Given)
 	}
 }
 
--- a/services/rank/claim_test.go
+++ b/services/rank/claim_test.go
@@ -88,7 +88,7 @@
 	}
 	now := time.Now()
 	if a.due(now.Add(200 * time.Millisecond)) {
-		t.Error("the agent stands up again at once")
+		t.Error("the agent starts another candidacy at once")
 	}
 	a.campaign(t.Context())
 	if a.due(time.Now().Add(400 * time.Millisecond)) {
@@ -105,12 +105,12 @@
 	s.era = 2
 	after, _ := second.claim(t.Context(), nil, "g")
 	if before == 0 || after <= before || fenceOf(after) <= fenceOf(before) {
-		t.Fatalf("authority %d before the return, %d after it", before, after)
+		t.Fatalf("authority %d before the restore, %d after it", before, after)
 	}
 	for _, a := range []*Agent{first, second} {
 		a.receive(begin, election.Lead{Group: "g", Authority: before, Lease: time.Second})
 		if !a.receive(begin, election.Lead{Group: "g", Authority: after, Lease: time.Second}) || a.receive(begin, election.Lead{Group: "g", Authority: before, Lease: time.Second}) {
-			t.Errorf("authority %d is followed although %d was heard", before, after)
+			t.Errorf("authority %d is followed although %d was received", before, after)
 		}
 	}
 }
--- a/services/rank/counts_test.go
+++ b/services/rank/counts_test.go
@@ -68,7 +68,7 @@
 	held := heldCounts{number: 4, RankCounts: services.RankCounts{Counts: []uint64{7}}}
 	held.add(CountsPart{Since: 3, Number: 4, Counts: []uint64{1}})
 	if held.number != 0 || held.Counts != nil {
-		t.Errorf("holds %+v after a part that goes on from other counts", held)
+		t.Errorf("holds %+v after a delta to other counts", held)
 	}
 }
 
--- a/services/rank/lead_test.go
+++ b/services/rank/lead_test.go
@@ -810,7 +810,7 @@
 					}
 				})
 				if l := d.leader(g); l == nil {
-					t.Error("nobody leads a while after it")
+					t.Error("no agent leads some time after the restore")
 				}
 				t.Logf("led after %s; %d calls in a second by %s", took, calls, name)
 			})
--- a/services/rank/members_test.go
+++ b/services/rank/members_test.go
@@ -163,7 +163,7 @@
 			c.noteEnded(sent, n)
 		}
 		if g := c.load(clock.Now()); g.Open != s.open || g.Whole != s.open {
-			t.Errorf("%s: open: %t, whole: %t, want %t", s.what, g.Open, g.Whole, s.open)
+			t.Errorf("%s: open: %t, complete: %t, want %t", s.what, g.Open, g.Whole, s.open)
 		}
 	}
 }
--- a/services/rank/order_test.go
+++ b/services/rank/order_test.go
@@ -41,7 +41,7 @@
 		d.setBase(base, m)
 		o := d.asChange(api.a.start, services.RankOrder{Kind: services.RankPrepare, Version: m.Version, Layers: m.Layers})
 		if whole := o.Order.Layers != nil; whole != (base.Version == 0) {
-			t.Errorf("version %d sent whole: %t", m.Version, whole)
+			t.Errorf("version %d sent as a complete map: %t", m.Version, whole)
 		}
 		var r OrderReply
 		if err := api.Order(o, &r); err != nil {
@@ -121,7 +121,7 @@
 			}
 			var told Reply
 			if err := api.Status(Ask{Lead: lead(9)}, &told); err != nil || told.Status.Noted != c.noted {
-				t.Errorf("told %+v, %v, want %+v", told.Status.Noted, err, c.noted)
+				t.Errorf("status has the records %+v, %v, want %+v", told.Status.Noted, err, c.noted)
 			}
 			if err := api.Order(prepare, &r); err != nil || r.Answer == services.RankDone {
 				t.Errorf("a late order to prepare: %s, %v", r.Answer, err)
--- a/services/rank/rank_test.go
+++ b/services/rank/rank_test.go
@@ -118,7 +118,7 @@
 	}
 	var reply Reply
 	if err := api.Status(Ask{Lead: lead(3)}, &reply); err != nil || reply.Authority != 4 {
-		t.Errorf("an old coordinator is told authority %d, %v", reply.Authority, err)
+		t.Errorf("an old coordinator got authority %d, %v, want 4", reply.Authority, err)
 	}
 }
 
@@ -130,7 +130,7 @@
 	api := NewAPI(other)
 	var told Reply
 	if err := api.Status(Ask{Lead: leadOf("a", 9)}, &told); err != nil || !told.Foreign || other.highest() != 0 {
-		t.Errorf("the coordinator of another group was heard: authority %d, %v", other.highest(), err)
+		t.Errorf("a status request from the coordinator of another group was accepted: authority %d, %v", other.highest(), err)
 	}
 	var ordered OrderReply
 	order := services.RankOrder{Kind: services.RankDisarm}
@@ -146,7 +146,7 @@
 	}
 	var led LeadReply
 	if err := api.Leads(LeadAsk{Group: "a"}, &led); err != nil || !led.Foreign || led.Led {
-		t.Errorf("another group is told %+v, %v", led, err)
+		t.Errorf("an agent of another group got the lead %+v, %v", led, err)
 	}
 }
 
@@ -159,24 +159,24 @@
 	a.notes = services.AgentRecords{Prepared: 7, Announced: 7}
 	a.maps.keep(&expertmap.Map{Version: 7})
 	if a.readGroup(); a.groupOf() != "g" {
-		t.Fatal("the engine does not tell")
+		t.Fatal("the group was not read from the engine")
 	}
 	if a.notes = (services.AgentRecords{Prepared: 7, Announced: 7}); len(a.maps) != 0 {
-		t.Error("maps of before the first answer are kept")
+		t.Error("maps from before the first answer are kept")
 	}
 	e.status.Born, e.status.Epoch = 200, 2
 	var r Reply
 	if err := a.status(Ask{}, &r); err != nil || r.Status.Noted != (services.AgentRecords{}) {
-		t.Errorf("noted of the run before: %+v, %v", r.Status.Noted, err)
+		t.Errorf("records of the earlier run are kept: %+v, %v", r.Status.Noted, err)
 	}
 	e.status.Born, e.status.Rank = 100, 1
 	if err := a.status(Ask{}, &r); err == nil {
-		t.Error("an answer of the run before was taken")
+		t.Error("an answer of the earlier run was accepted")
 	}
 	var first countSender
 	first.delta(0, services.RankCounts{Born: 100, Epoch: 1, Counts: []uint64{1, 2}})
 	if part := first.delta(first.number, services.RankCounts{Born: 200, Epoch: 1, Counts: []uint64{5, 6}}); part.Since != 0 || part.Counts[0] != 5 || part.Born != 200 {
-		t.Errorf("counts of another run told as a difference: %+v", part)
+		t.Errorf("counts of another run sent as a delta: %+v", part)
 	}
 	held := heldCounts{number: 3, RankCounts: services.RankCounts{Born: 100, Counts: []uint64{1}}}
 	held.add(CountsPart{Born: 200, Since: 3, Number: 4, Counts: []uint64{1}})
