--- a/services/condition/limit_test.go
+++ b/services/condition/limit_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestTold checks that a transferred limit does not end a newer one, however long the transfer
+// TestWireLimit checks that a transferred limit does not end a newer one, however long the transfer
 // took.
-func TestTold(t *testing.T) {
+func TestWireLimit(t *testing.T) {
 	end := limitOf(0, 100, 150).Told(at(200))
 	cases := map[string]struct {
 		limit Limit
@@ -69,6 +69,6 @@
 		})
 	}
 	if got := (Limit{}).Told(at(0)).At(at(0), at(10)); got != (Limit{}) {
-		t.Errorf("a word that there is not became %+v", got)
+		t.Errorf("an unknown limit became %+v after the transfer", got)
 	}
 }
--- a/services/quarantine/register_test.go
+++ b/services/quarantine/register_test.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestTold checks that registers that exchange their changes converge in any order, and that a
-// request stays cleared.
-func TestTold(t *testing.T) {
+// TestRegistersConverge checks that registers that exchange their changes converge in any order,
+// and that a request stays cleared.
+func TestRegistersConverge(t *testing.T) {
 	for seed := range uint64(200) {
 		chance := rand.New(rand.NewPCG(seed, 0))
 		now := testStart
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestBounds checks that a register keeps only the latest requests, and sends all of them to a
-// router that restarts.
-func TestBounds(t *testing.T) {
+// TestRegisterLimits checks that a register keeps only the latest requests, and sends all of them
+// to a router that restarts.
+func TestRegisterLimits(t *testing.T) {
 	r := NewRegister(testStart)
 	for i := range 2 * maxKeys {
 		now := testStart.Add(time.Duration(i) * time.Millisecond)
@@ -148,13 +148,13 @@
 	}
 	now := testStart.Add(time.Hour / 60)
 	if got := len(r.Since(now, peer.Mark{Start: 1, Position: 1 << 40})); got != maxKeys {
-		t.Errorf("%d requests are told to one that knows another register, want %d", got, maxKeys)
+		t.Errorf("%d crash records for a watermark of another register, want %d", got, maxKeys)
 	}
 	if len(r.runs) > maxRuns {
-		t.Errorf("%d runs are remembered, want %d at most", len(r.runs), maxRuns)
+		t.Errorf("%d runs are kept, want %d at most", len(r.runs), maxRuns)
 	}
 	if got := r.Since(now, r.Mark()); len(got) != 0 {
-		t.Errorf("%d are told although nothing is new", len(got))
+		t.Errorf("%d crash records although none has changed", len(got))
 	}
 }
 
--- a/services/quota/ledger_test.go
+++ b/services/quota/ledger_test.go
@@ -15,8 +15,8 @@
 var begin = time.Unix(1000, 0)
 
 // ask returns a request of a router that has just received a limit.
-func ask(rate upstream.Rate, wanted int) condition.Ask {
-	return condition.Ask{Run: upstream.Run{ID: "u"}, Limit: condition.ToldLimit{Known: true, Named: rate >= 0, Rate: max(rate, 0)}, Wanted: wanted}
+func ask(rate upstream.Rate, wanted int) condition.PermitRequest {
+	return condition.PermitRequest{Run: upstream.Run{ID: "u"}, Limit: condition.WireLimit{Known: true, Named: rate >= 0, Rate: max(rate, 0)}, Wanted: wanted}
 }
 
 // TestGive has routers ask as often as they may and counts the permits: their rate must be close to
@@ -60,27 +60,27 @@
 	l := NewLedger()
 	r := l.Give(begin, ask(1, 1))
 	if r.Given != 0 || r.Again != time.Second {
-		t.Errorf("given %d, again after %s, want a permit after a second", r.Given, r.Again)
+		t.Errorf("granted %d, retry after %s, want a permit after a second", r.Given, r.Again)
 	}
 	if r := l.Give(begin.Add(r.Again), ask(1, 1)); r.Given != 1 {
-		t.Errorf("given %d after a second, want 1", r.Given)
+		t.Errorf("granted %d after a second, want 1", r.Given)
 	}
 }
 
-// TestTurns checks that routers without a permit get different retry times, and that none waits for
-// long.
-func TestTurns(t *testing.T) {
+// TestRetryTimes checks that routers without a permit get different retry times, and that none
+// waits for long.
+func TestRetryTimes(t *testing.T) {
 	l, retryTimes := NewLedger(), map[time.Duration]int{}
 	for range 100 {
 		retryTimes[l.Give(begin, ask(2, 1)).Again]++
 	}
 	for after := 500 * time.Millisecond; after < maxRetryAfter; after += 500 * time.Millisecond {
 		if retryTimes[after] != 1 {
-			t.Errorf("%d routers are told %s, want 1", retryTimes[after], after)
+			t.Errorf("%d routers got the retry time %s, want 1", retryTimes[after], after)
 		}
 	}
 	if retryTimes[maxRetryAfter] != 93 {
-		t.Errorf("%d routers are told %s, want all others", retryTimes[maxRetryAfter], maxRetryAfter)
+		t.Errorf("%d routers got the retry time %s, want all others", retryTimes[maxRetryAfter], maxRetryAfter)
 	}
 }
 
@@ -89,20 +89,20 @@
 func TestEnded(t *testing.T) {
 	l := NewLedger()
 	l.Give(begin, ask(1, 1))
-	end := condition.Ask{Run: upstream.Run{ID: "u"}, Limit: condition.ToldLimit{Known: true}}
+	end := condition.PermitRequest{Run: upstream.Run{ID: "u"}, Limit: condition.WireLimit{Known: true}}
 	old := ask(1, 1)
 	old.Limit.SentAge, old.Limit.HeardAge = 2*time.Second, 2*time.Second
 	if r := l.Give(begin.Add(100*time.Millisecond), end); !r.Limit.Named {
 		t.Error("an end that may be older than the limit has ended it")
 	}
 	if r := l.Give(begin.Add(time.Second), end); r.Limit.Named || r.Given != 0 {
-		t.Errorf("the limit is in force after its end, or %d permits were given that nobody wanted", r.Given)
+		t.Errorf("the limit is in force after its end, or %d permits were granted without a request for any", r.Given)
 	}
 	if r := l.Give(begin.Add(time.Second), old); r.Limit.Named || r.Given != 1 {
-		t.Errorf("a router with an old word was told that the limit is in force: %t, and given %d", r.Limit.Named, r.Given)
+		t.Errorf("a router with an old record of the limit got: limit in force %t, %d permits; want false, 1", r.Limit.Named, r.Given)
 	}
 	if r := l.Give(begin.Add(3*time.Second), ask(1, 1)); !r.Limit.Named || r.Given != 0 {
-		t.Errorf("the limit is in force again: %t, want true; %d permits were given", r.Limit.Named, r.Given)
+		t.Errorf("the limit is in force again: %t, want true; %d permits were granted, want 0", r.Limit.Named, r.Given)
 	}
 }
 
@@ -120,7 +120,7 @@
 // ExampleLedger_Give shows a router that gets a permit, and one that gets a retry time.
 func ExampleLedger_Give() {
 	l := NewLedger()
-	question := condition.Ask{Run: upstream.Run{ID: "i-1"}, Limit: condition.ToldLimit{Known: true, Named: true, Rate: 2}, Wanted: 1}
+	question := condition.PermitRequest{Run: upstream.Run{ID: "i-1"}, Limit: condition.WireLimit{Known: true, Named: true, Rate: 2}, Wanted: 1}
 	l.Give(begin, question)
 	fmt.Println(l.Give(begin.Add(time.Second), question).Given)
 	fmt.Println(l.Give(begin.Add(time.Second), question).Again)
--- a/services/rank/claim_test.go
+++ b/services/rank/claim_test.go
@@ -61,9 +61,9 @@
 	return a
 }
 
-// TestLedMeanwhile checks that an agent does not claim when a coordinator has taken over while it
+// TestNoClaimWhenLed checks that an agent does not claim when a coordinator has taken over while it
 // asked others: its claim would depose that coordinator.
-func TestLedMeanwhile(t *testing.T) {
+func TestNoClaimWhenLed(t *testing.T) {
 	s := &claimStore{ends: []services.Offset{5}, won: true}
 	a := claimAgent(s)
 	a.opts.Pool = callFunc(func(string) error {
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestClaimsRest checks that an agent takes the end of the log from the store, also a lower one,
+// TestClaimsBackOff checks that an agent takes the end of the log from the store, also a lower one,
 // and that consecutive lost claims make it back off for longer and longer.
-func TestClaimsRest(t *testing.T) {
+func TestClaimsBackOff(t *testing.T) {
 	s := &claimStore{ends: []services.Offset{9, 3, 4}}
 	a := claimAgent(s)
 	a.campaign(t.Context())
@@ -88,7 +88,7 @@
 	}
 	now := time.Now()
 	if a.due(now.Add(200 * time.Millisecond)) {
-		t.Error("the agent stands up again at once")
+		t.Error("the agent starts another candidacy at once")
 	}
 	a.campaign(t.Context())
 	if a.due(time.Now().Add(400 * time.Millisecond)) {
@@ -96,21 +96,21 @@
 	}
 }
 
-// TestClaimedTwice has two agents claim the same offset before and after the store was restored
-// from a copy: they must not get the same authority, and the later one must lead.
-func TestClaimedTwice(t *testing.T) {
+// TestSameOffsetClaimedTwice has two agents claim the same offset before and after the store was
+// restored from a copy: they must not get the same authority, and the later one must lead.
+func TestSameOffsetClaimedTwice(t *testing.T) {
 	s := &claimStore{ends: []services.Offset{7}, won: true, era: 1}
 	first, second := claimAgent(s), claimAgent(s)
 	before, _ := first.claim(t.Context(), nil, "g")
 	s.era = 2
 	after, _ := second.claim(t.Context(), nil, "g")
 	if before == 0 || after <= before || fenceOf(after) <= fenceOf(before) {
-		t.Fatalf("authority %d before the return, %d after it", before, after)
+		t.Fatalf("authority %d before the restore, %d after it", before, after)
 	}
 	for _, a := range []*Agent{first, second} {
 		a.receive(begin, election.Lead{Group: "g", Authority: before, Lease: time.Second})
 		if !a.receive(begin, election.Lead{Group: "g", Authority: after, Lease: time.Second}) || a.receive(begin, election.Lead{Group: "g", Authority: before, Lease: time.Second}) {
-			t.Errorf("authority %d is followed although %d was heard", before, after)
+			t.Errorf("authority %d is followed although %d was received", before, after)
 		}
 	}
 }
--- a/services/rank/counts_test.go
+++ b/services/rank/counts_test.go
@@ -68,7 +68,7 @@
 	held := heldCounts{number: 4, RankCounts: services.RankCounts{Counts: []uint64{7}}}
 	held.add(CountsPart{Since: 3, Number: 4, Counts: []uint64{1}})
 	if held.number != 0 || held.Counts != nil {
-		t.Errorf("holds %+v after a part that goes on from other counts", held)
+		t.Errorf("holds %+v after a delta to other counts", held)
 	}
 }
 
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestSkips checks that agents of other groups are polled again only after a while: a service may
-// have many.
-func TestSkips(t *testing.T) {
+// TestSkipsForeignAgents checks that agents of other groups are polled again only after a while: a
+// service may have many.
+func TestSkipsForeignAgents(t *testing.T) {
 	c := &coordinator{foreign: map[string]time.Time{"other": begin}}
 	cases := map[string]struct {
 		agent string
--- a/services/rank/rank_test.go
+++ b/services/rank/rank_test.go
@@ -118,7 +118,7 @@
 	}
 	var reply Reply
 	if err := api.Status(Ask{Lead: lead(3)}, &reply); err != nil || reply.Authority != 4 {
-		t.Errorf("an old coordinator is told authority %d, %v", reply.Authority, err)
+		t.Errorf("an old coordinator got authority %d, %v, want 4", reply.Authority, err)
 	}
 }
 
@@ -130,7 +130,7 @@
 	api := NewAPI(other)
 	var told Reply
 	if err := api.Status(Ask{Lead: leadOf("a", 9)}, &told); err != nil || !told.Foreign || other.highest() != 0 {
-		t.Errorf("the coordinator of another group was heard: authority %d, %v", other.highest(), err)
+		t.Errorf("a status request from the coordinator of another group was accepted: authority %d, %v", other.highest(), err)
 	}
 	var ordered OrderReply
 	order := services.RankOrder{Kind: services.RankDisarm}
@@ -146,37 +146,37 @@
 	}
 	var led LeadReply
 	if err := api.Leads(LeadAsk{Group: "a"}, &led); err != nil || !led.Foreign || led.Led {
-		t.Errorf("another group is told %+v, %v", led, err)
+		t.Errorf("an agent of another group got the lead %+v, %v", led, err)
 	}
 }
 
-// TestBornAgain checks that an agent discards its notes for an engine that has restarted, that
+// TestEngineRestart checks that an agent discards its notes for an engine that has restarted, that
 // restarted counts are sent in full, and that late answers of the earlier run are rejected.
-func TestBornAgain(t *testing.T) {
+func TestEngineRestart(t *testing.T) {
 	e := &engine{status: services.RankStatus{Group: "g", Born: 100, Epoch: 1, Size: 2}}
 	a := New(begin, Options{Engine: e, Logger: zerolog.Nop()})
 	a.order(services.RankOrder{Kind: services.RankArm})
-	a.notes = services.RankNotes{Prepared: 7, Announced: 7}
+	a.notes = services.AgentRecords{Prepared: 7, Announced: 7}
 	a.maps.keep(&expertmap.Map{Version: 7})
 	if a.readGroup(); a.groupOf() != "g" {
-		t.Fatal("the engine does not tell")
+		t.Fatal("the group was not read from the engine")
 	}
-	if a.notes = (services.RankNotes{Prepared: 7, Announced: 7}); len(a.maps) != 0 {
-		t.Error("maps of before the first answer are kept")
+	if a.notes = (services.AgentRecords{Prepared: 7, Announced: 7}); len(a.maps) != 0 {
+		t.Error("maps from before the first answer are kept")
 	}
 	e.status.Born, e.status.Epoch = 200, 2
 	var r Reply
-	if err := a.status(Ask{}, &r); err != nil || r.Status.Noted != (services.RankNotes{}) {
-		t.Errorf("noted of the run before: %+v, %v", r.Status.Noted, err)
+	if err := a.status(Ask{}, &r); err != nil || r.Status.Noted != (services.AgentRecords{}) {
+		t.Errorf("records of the earlier run are kept: %+v, %v", r.Status.Noted, err)
 	}
 	e.status.Born, e.status.Rank = 100, 1
 	if err := a.status(Ask{}, &r); err == nil {
-		t.Error("an answer of the run before was taken")
+		t.Error("an answer of the earlier run was accepted")
 	}
 	var first countSender
 	first.delta(0, services.RankCounts{Born: 100, Epoch: 1, Counts: []uint64{1, 2}})
 	if part := first.delta(first.number, services.RankCounts{Born: 200, Epoch: 1, Counts: []uint64{5, 6}}); part.Since != 0 || part.Counts[0] != 5 || part.Born != 200 {
-		t.Errorf("counts of another run told as a difference: %+v", part)
+		t.Errorf("counts of another run sent as a delta: %+v", part)
 	}
 	held := heldCounts{number: 3, RankCounts: services.RankCounts{Born: 100, Counts: []uint64{1}}}
 	held.add(CountsPart{Born: 200, Since: 3, Number: 4, Counts: []uint64{1}})
@@ -191,8 +191,9 @@
 	}
 }
 
-// TestTakeBornAgain checks that a coordinator accepts no status of an earlier run of an engine.
-func TestTakeBornAgain(t *testing.T) {
+// TestRecordRejectsEarlierRun checks that a coordinator accepts no status of an earlier run of an
+// engine.
+func TestRecordRejectsEarlierRun(t *testing.T) {
 	c := newCoordinator(New(begin, Options{Logger: zerolog.Nop()}), lead(1), services.RankStatus{Group: "g", Size: 1})
 	status := func(born upstream.Born, step group.Step) Reply {
 		return Reply{Status: services.RankStatus{Group: "g", Size: 1, Born: born, Step: step}}
@@ -300,9 +301,9 @@
 	}
 }
 
-// TestWaits checks that a coordinator does not mistake its own change, whose pass is still to
+// TestAwaitsPass checks that a coordinator does not mistake its own change, whose pass is still to
 // begin, for one that an earlier coordinator has left unfinished.
-func TestWaits(t *testing.T) {
+func TestAwaitsPass(t *testing.T) {
 	status := func(armed, used expertmap.Version) services.RankStatus {
 		return services.RankStatus{Armed: armed, Map: used, Rank: group.Rank(0)}
 	}
