--- a/services/configlog/core.go
+++ b/services/configlog/core.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package configlog turns the configuration stream of the platform's log into one accepted
-// configuration. The order of the log decides: every process that reads the same records
-// accepts the same ones.
+// Package configlog derives the accepted configuration from the configuration stream of the
+// platform's log. The log order decides: every process that reads the same records accepts the
+// same confirmations.
 package configlog
 
 import (
@@ -14,53 +14,55 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// Verdict is what became of a confirmation.
+// Verdict is the result of a confirmation.
 type Verdict string
 
 // The verdicts.
 const (
 	// VerdictAccepted means that the confirmation became a revision.
 	VerdictAccepted Verdict = "accepted"
-	// VerdictRejected means that it lost against the configuration in force when its record arrived.
+	// VerdictRejected means that the confirmation was not based on the configuration that was in
+	// force at the position of its record.
 	VerdictRejected Verdict = "rejected"
-	// VerdictUnknown means that no record of it has been read yet.
+	// VerdictUnknown means that no record of the confirmation has been read yet.
 	VerdictUnknown Verdict = "unknown"
 )
 
-// Outcome tells what became of a confirmation and at which revision.
+// Outcome is the verdict on a confirmation, with its revision and digest.
 type Outcome struct {
 	Verdict  Verdict         `json:"verdict"`
 	Revision intent.Revision `json:"revision"`
 	Digest   intent.Digest   `json:"digest"`
 }
 
-// PeerState is what one process tells another about its configuration.
+// PeerState is the configuration state that one process sends to another.
 type PeerState struct {
 	State intent.State
-	// Next is the first offset the peer has not applied to State.
+	// Next is the first offset that the peer has not applied to State.
 	Next services.Offset
-	// Anchored says that State is exact as of Next.
+	// Anchored reports whether State is exact as of Next.
 	Anchored bool
-	// Outcomes holds the latest verdicts: whoever takes over the position has not judged those records.
+	// Outcomes holds the latest verdicts, because a process that adopts this position has not
+	// judged those records itself.
 	Outcomes map[intent.ConfirmID]Outcome
 }
 
-// NoteKind names something that an operator should see in the time line.
-type NoteKind string
+// EventKind is the kind of an Event, as shown to operators in the timeline.
+type EventKind string
 
-// The kinds of note.
+// The kinds of an Event.
 const (
-	NoteAccepted NoteKind = "accepted"
-	NoteRejected NoteKind = "rejected"
-	NoteBad      NoteKind = "bad-record"
-	NoteGap      NoteKind = "gap"
-	NoteAnchored NoteKind = "anchored"
-	NoteDiverged NoteKind = "diverged"
+	EventAccepted  EventKind = "accepted"
+	EventRejected  EventKind = "rejected"
+	EventBadRecord EventKind = "bad-record"
+	EventGap       EventKind = "gap"
+	EventAnchored  EventKind = "anchored"
+	EventDiverged  EventKind = "diverged"
 )
 
-// Note is one thing that happened while records were applied.
-type Note struct {
-	Kind     NoteKind
+// Event is something that happened while records were applied.
+type Event struct {
+	Kind     EventKind
 	Offset   services.Offset
 	Revision intent.Revision
 	ID       intent.ConfirmID
@@ -68,17 +70,17 @@
 }
 
 const (
-	// maxOutcomes bounds the confirmations whose verdict is remembered.
+	// maxOutcomes is the number of confirmations whose verdict is kept.
 	maxOutcomes = 4096
-	// maxHeld bounds the records kept while no exact state is known.
-	maxHeld = 16384
+	// maxHeldRecords is the number of records kept while no exact state is known.
+	maxHeldRecords = 16384
 )
 
 // Core applies records in order. It does no I/O and reads no clock.
 //
-// It knows two states. The judged state is exact as of an offset of the log, and only
-// against it may a confirmation be accepted. The state in force is the highest revision
-// heard of from anyone; it never goes down.
+// It has two states. The judged state is exact as of an offset of the log; confirmations are
+// accepted against this state only. The state in force is the highest revision received from
+// the log or from any peer; its revision never decreases.
 type Core struct {
 	inForce intent.State
 
@@ -86,20 +88,20 @@
 	next     services.Offset
 	anchored bool
 	started  bool
-	// windowStart is the oldest record read without a gap up to next.
+	// windowStart is the offset from which all records up to next were read without a gap.
 	windowStart services.Offset
-	// held keeps the records from windowStart on while the core is not anchored.
+	// held buffers the records from windowStart on while the core is not anchored.
 	held []services.LogRecord
-	// startTail is the tail of the log at the first read.
-	startTail services.Offset
-	// carriedAt is the time at which a record with the judged state was last appended.
-	carriedAt time.Time
+	// initialTail is the tail of the log at the first read.
+	initialTail services.Offset
+	// stateAppendedAt is the time at which a record that holds the judged state was last appended.
+	stateAppendedAt time.Time
 
 	outcomes map[intent.ConfirmID]Outcome
 	order    []intent.ConfirmID
 }
 
-// NewCore returns a core that knows nothing yet.
+// NewCore returns a core with the empty configuration.
 func NewCore() *Core {
 	return &Core{inForce: intent.Empty(), judged: intent.Empty(), outcomes: map[intent.ConfirmID]Outcome{}}
 }
@@ -107,16 +109,17 @@
 // State returns the configuration in force.
 func (c *Core) State() intent.State { return c.inForce }
 
-// Judged returns the state that confirmations are judged against, and whether it is exact.
+// Judged returns the state that confirmations are judged against and reports whether it is exact.
 func (c *Core) Judged() (intent.State, bool) { return c.judged, c.anchored }
 
 // Next returns the offset to read from.
 func (c *Core) Next() services.Offset { return c.next }
 
-// CaughtUp reports whether the core has applied everything the log held at the first read.
-func (c *Core) CaughtUp() bool { return c.started && c.anchored && c.next >= c.startTail }
+// CaughtUp reports whether the core is anchored and has applied all records that were in the log
+// at the first read.
+func (c *Core) CaughtUp() bool { return c.started && c.anchored && c.next >= c.initialTail }
 
-// Peer returns the state to hand to another process.
+// Peer returns the state to send to another process.
 func (c *Core) Peer() PeerState {
 	p := PeerState{State: c.inForce, Outcomes: c.latestOutcomes()}
 	if c.anchored && c.judged.Revision == c.inForce.Revision {
@@ -125,11 +128,11 @@
 	return p
 }
 
-// handedOutcomes is the number of verdicts handed to a peer.
-const handedOutcomes = 256
+// maxPeerOutcomes is the number of verdicts sent to a peer.
+const maxPeerOutcomes = 256
 
 func (c *Core) latestOutcomes() map[intent.ConfirmID]Outcome {
-	ids := c.order[max(0, len(c.order)-handedOutcomes):]
+	ids := c.order[max(0, len(c.order)-maxPeerOutcomes):]
 	out := make(map[intent.ConfirmID]Outcome, len(ids))
 	for _, id := range ids {
 		out[id] = c.outcomes[id]
@@ -137,7 +140,7 @@
 	return out
 }
 
-// Outcome returns what became of a confirmation.
+// Outcome returns the outcome of a confirmation.
 func (c *Core) Outcome(id intent.ConfirmID) Outcome {
 	if o, ok := c.outcomes[id]; ok {
 		return o
@@ -145,26 +148,27 @@
 	return Outcome{Verdict: VerdictUnknown, Revision: c.inForce.Revision}
 }
 
-// Apply takes in a page that was read from Next on.
-func (c *Core) Apply(now time.Time, p services.Page) []Note {
-	notes := c.open(p)
+// Apply applies a page that was read from offset Next.
+func (c *Core) Apply(now time.Time, p services.Page) []Event {
+	events := c.alignToLog(p)
 	for _, r := range p.Records {
 		if r.Offset < c.next {
 			continue
 		}
-		notes = append(notes, c.take(now, p.Now, r)...)
+		events = append(events, c.applyRecord(now, p.Now, r)...)
 		c.next = r.Offset + 1
 	}
-	c.raise(c.judged)
-	return notes
+	c.raiseInForce(c.judged)
+	return events
 }
 
-// open deals with the edges of what the log still keeps.
-func (c *Core) open(p services.Page) []Note {
+// alignToLog aligns the core with the range of offsets that the log retains. It drops the anchor
+// when records were trimmed before they were read or when the log restarted.
+func (c *Core) alignToLog(p services.Page) []Event {
 	first := !c.started
 	if first {
 		c.started = true
-		c.startTail = p.Tail
+		c.initialTail = p.Tail
 		if p.First == 0 && c.next == 0 && !c.anchored {
 			c.anchored = true
 			return nil
@@ -181,14 +185,14 @@
 	if first {
 		return nil
 	}
-	return []Note{{Kind: NoteGap, Offset: p.First, Detail: "records were gone before they were read"}}
+	return []Event{{Kind: EventGap, Offset: p.First, Detail: "records were gone before they were read"}}
 }
 
-func (c *Core) take(now, logNow time.Time, r services.LogRecord) []Note {
+func (c *Core) applyRecord(now, logNow time.Time, r services.LogRecord) []Event {
 	if c.anchored {
 		return c.judge(now, logNow, r)
 	}
-	if len(c.held) < maxHeld {
+	if len(c.held) < maxHeldRecords {
 		c.held = append(c.held, r)
 	}
 	rec, err := intent.DecodeRecord(r.Data)
@@ -199,81 +203,83 @@
 	return c.anchor(now, logNow, PeerState{State: state, Next: services.Offset(rec.AsOf), Anchored: true})
 }
 
-// anchor makes an exact state the judged one if all records since it are at hand, and judges those.
-func (c *Core) anchor(now, logNow time.Time, p PeerState) []Note {
+// anchor sets an exact state as the judged state if all records since its offset are held, and
+// judges those records.
+func (c *Core) anchor(now, logNow time.Time, p PeerState) []Event {
 	if p.Next < c.windowStart || p.State.Revision < c.judged.Revision {
 		return nil
 	}
 	held := c.held
 	c.judged, c.anchored, c.held = p.State, true, nil
-	notes := []Note{{Kind: NoteAnchored, Offset: p.Next, Revision: p.State.Revision}}
+	events := []Event{{Kind: EventAnchored, Offset: p.Next, Revision: p.State.Revision}}
 	for _, r := range held {
 		if r.Offset >= p.Next {
-			notes = append(notes, c.judge(now, logNow, r)...)
+			events = append(events, c.judge(now, logNow, r)...)
 		}
 	}
-	return notes
+	return events
 }
 
-func (c *Core) judge(now, logNow time.Time, r services.LogRecord) []Note {
+func (c *Core) judge(now, logNow time.Time, r services.LogRecord) []Event {
 	rec, err := intent.DecodeRecord(r.Data)
 	if err != nil {
-		return c.unreadable(r, err)
+		return c.handleUndecodable(r, err)
 	}
 	if rec.Kind == intent.RecordCheckpoint {
 		return c.judgeCheckpoint(now, logNow, r, rec)
 	}
 	digest := rec.Intent.Digest()
 	if rec.Revision != c.judged.Revision+1 || rec.BaseDigest != c.judged.Digest {
-		c.remember(rec.ID, Outcome{Verdict: VerdictRejected, Revision: c.judged.Revision, Digest: digest})
-		return []Note{{Kind: NoteRejected, Offset: r.Offset, Revision: rec.Revision, ID: rec.ID, Detail: "base is not the configuration in force"}}
+		c.recordOutcome(rec.ID, Outcome{Verdict: VerdictRejected, Revision: c.judged.Revision, Digest: digest})
+		return []Event{{Kind: EventRejected, Offset: r.Offset, Revision: rec.Revision, ID: rec.ID, Detail: "base is not the configuration in force"}}
 	}
 	c.judged = intent.State{Revision: rec.Revision, Digest: digest, Intent: rec.Intent}
-	c.carriedAt = now.Add(r.At.Sub(logNow))
-	c.remember(rec.ID, Outcome{Verdict: VerdictAccepted, Revision: rec.Revision, Digest: digest})
-	return []Note{{Kind: NoteAccepted, Offset: r.Offset, Revision: rec.Revision, ID: rec.ID}}
+	c.stateAppendedAt = now.Add(r.At.Sub(logNow))
+	c.recordOutcome(rec.ID, Outcome{Verdict: VerdictAccepted, Revision: rec.Revision, Digest: digest})
+	return []Event{{Kind: EventAccepted, Offset: r.Offset, Revision: rec.Revision, ID: rec.ID}}
 }
 
-// unreadable skips noise, but stops judging at a record of a later format: a process that
-// reads it may accept it, so this one must learn the result from a checkpoint or a peer.
-func (c *Core) unreadable(r services.LogRecord, err error) []Note {
+// handleUndecodable skips corrupt records but drops the anchor at a record of a later format. A
+// newer process may accept that record, so this one must learn the result from a checkpoint or a
+// peer.
+func (c *Core) handleUndecodable(r services.LogRecord, err error) []Event {
 	var bad intent.ErrBadRecord
 	if errors.As(err, &bad) && bad.Later {
 		c.anchored = false
 		c.held = nil
 		c.windowStart = r.Offset + 1
 	}
-	return []Note{{Kind: NoteBad, Offset: r.Offset, Detail: err.Error()}}
+	return []Event{{Kind: EventBadRecord, Offset: r.Offset, Detail: err.Error()}}
 }
 
-func (c *Core) judgeCheckpoint(now, logNow time.Time, r services.LogRecord, rec *intent.Record) []Note {
+func (c *Core) judgeCheckpoint(now, logNow time.Time, r services.LogRecord, rec *intent.Record) []Event {
 	digest := rec.Intent.Digest()
 	switch {
 	case rec.Revision < c.judged.Revision:
 		return nil
 	case rec.Revision > c.judged.Revision:
 		c.judged = intent.State{Revision: rec.Revision, Digest: digest, Intent: rec.Intent}
-		c.carriedAt = now.Add(r.At.Sub(logNow))
-		return []Note{{Kind: NoteAnchored, Offset: r.Offset, Revision: rec.Revision}}
+		c.stateAppendedAt = now.Add(r.At.Sub(logNow))
+		return []Event{{Kind: EventAnchored, Offset: r.Offset, Revision: rec.Revision}}
 	case digest != c.judged.Digest:
-		return []Note{{Kind: NoteDiverged, Offset: r.Offset, Revision: rec.Revision, Detail: "checkpoint differs from the judged state"}}
+		return []Event{{Kind: EventDiverged, Offset: r.Offset, Revision: rec.Revision, Detail: "checkpoint differs from the judged state"}}
 	}
-	c.carriedAt = now.Add(r.At.Sub(logNow))
+	c.stateAppendedAt = now.Add(r.At.Sub(logNow))
 	return nil
 }
 
-// Adopt takes in the configuration of another process. It reports whether the configuration in force rose.
+// Adopt merges the state of another process and reports whether the revision in force increased.
 func (c *Core) Adopt(now time.Time, p PeerState) bool {
 	if p.State.Intent == nil {
 		return false
 	}
 	for id, o := range p.Outcomes {
-		c.remember(id, o)
+		c.recordOutcome(id, o)
 	}
 	if p.Anchored && (!c.anchored || p.Next > c.next) {
 		c.adoptPosition(now, p)
 	}
-	return c.raise(p.State)
+	return c.raiseInForce(p.State)
 }
 
 func (c *Core) adoptPosition(now time.Time, p PeerState) {
@@ -286,10 +292,10 @@
 	}
 	c.judged, c.next, c.windowStart = p.State, p.Next, p.Next
 	c.anchored, c.held = true, nil
-	c.carriedAt = now
+	c.stateAppendedAt = now
 }
 
-func (c *Core) raise(s intent.State) bool {
+func (c *Core) raiseInForce(s intent.State) bool {
 	if s.Revision <= c.inForce.Revision {
 		return false
 	}
@@ -297,8 +303,9 @@
 	return true
 }
 
-// remember keeps the first accepted verdict of an id; a later record with the same id is a repeat.
-func (c *Core) remember(id intent.ConfirmID, o Outcome) {
+// recordOutcome records a verdict. The first accepted verdict of an id is final: a later record
+// with the same id is a duplicate.
+func (c *Core) recordOutcome(id intent.ConfirmID, o Outcome) {
 	old, ok := c.outcomes[id]
 	if ok && old.Verdict == VerdictAccepted {
 		return
@@ -313,18 +320,18 @@
 	}
 }
 
-// CheckpointDue reports whether this process should repeat the configuration in the log.
-// The turn of a router is its place among the live ones, from 0; each later turn waits
-// a little longer, so that one of them writes and the others see it.
-func (c *Core) CheckpointDue(now time.Time, retention time.Duration, turn int) bool {
+// CheckpointDue reports whether this process should write a checkpoint to the log. The routerIndex
+// is the router's index among the live routers, from 0. Each later index waits retention/32 longer,
+// so that normally one router writes and the others read its checkpoint.
+func (c *Core) CheckpointDue(now time.Time, retention time.Duration, routerIndex int) bool {
 	if c.judged.Revision == 0 || !c.anchored {
 		return false
 	}
-	wait := retention/2 + time.Duration(turn)*retention/32
-	return now.Sub(c.carriedAt) >= wait
+	wait := retention/2 + time.Duration(routerIndex)*retention/32
+	return now.Sub(c.stateAppendedAt) >= wait
 }
 
-// Checkpoint returns the record that repeats the judged state.
+// Checkpoint returns a checkpoint record of the judged state.
 func (c *Core) Checkpoint() *intent.Record {
 	return &intent.Record{
 		Version: intent.RecordVersion, Kind: intent.RecordCheckpoint,
@@ -332,8 +339,8 @@
 	}
 }
 
-// RecoveryCheckpoint returns a record that makes the configuration in force the exact one again.
-// It is for the case that no process anywhere is anchored: what the log has lost is then known to nobody.
+// RecoveryCheckpoint returns a checkpoint record that makes the configuration in force exact again.
+// It is used when no process is anchored: no process then knows the records that the log has lost.
 func (c *Core) RecoveryCheckpoint() (*intent.Record, bool) {
 	if c.anchored || !c.started || c.inForce.Revision == 0 {
 		return nil, false
--- a/services/configlog/core_test.go
+++ b/services/configlog/core_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-func named(deployment string) *intent.Intent {
+func intentNamed(deployment string) *intent.Intent {
 	return &intent.Intent{Version: 1, Deployment: deployment, Rebalance: intent.Rebalance{Prefer: intent.PreferCost}}
 }
 
@@ -35,11 +35,11 @@
 	return p
 }
 
-// TestAdoptedOutcome checks that a core that takes over a peer's position also learns what became
-// of the confirmations before it.
+// TestAdoptedOutcome checks that a core that adopts a peer's position also learns the outcomes of
+// the confirmations before that position.
 func TestAdoptedOutcome(t *testing.T) {
 	ahead, behind := NewCore(), NewCore()
-	ahead.Apply(start, page(t, 0, confirmation("c", intent.Empty(), named("a"))))
+	ahead.Apply(start, page(t, 0, confirmation("c", intent.Empty(), intentNamed("a"))))
 	behind.Apply(start, services.Page{Now: start})
 	behind.Adopt(start, ahead.Peer())
 	if got := behind.Outcome("c"); got.Verdict != VerdictAccepted || got.Revision != 1 {
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestAnchor checks what a core makes of the first records it finds after a trim.
+// TestAnchor checks which state a core derives from the first records that it reads after a trim.
 func TestAnchor(t *testing.T) {
-	five := intent.State{Revision: 5, Digest: named("five").Digest(), Intent: named("five")}
+	five := intent.State{Revision: 5, Digest: intentNamed("five").Digest(), Intent: intentNamed("five")}
 	checkpoint := func(s intent.State, asOf uint64) *intent.Record {
 		return &intent.Record{Version: 1, Kind: intent.RecordCheckpoint, Revision: s.Revision, AsOf: asOf, Intent: s.Intent}
 	}
@@ -57,10 +57,10 @@
 		recs []*intent.Record
 		want intent.Revision
 	}{
-		"stale checkpoint says nothing":           {[]*intent.Record{checkpoint(five, 99), confirmation("x", five, named("six"))}, 0},
-		"checkpoint of the window's edge":         {[]*intent.Record{checkpoint(five, 100), confirmation("x", five, named("six"))}, 6},
-		"confirmation before its checkpoint":      {[]*intent.Record{confirmation("x", five, named("six")), checkpoint(five, 100)}, 6},
-		"confirmation that the checkpoint covers": {[]*intent.Record{confirmation("x", five, named("six")), checkpoint(five, 101)}, 5},
+		"stale checkpoint is ignored":             {[]*intent.Record{checkpoint(five, 99), confirmation("x", five, intentNamed("six"))}, 0},
+		"checkpoint at the start of the window":   {[]*intent.Record{checkpoint(five, 100), confirmation("x", five, intentNamed("six"))}, 6},
+		"confirmation before its checkpoint":      {[]*intent.Record{confirmation("x", five, intentNamed("six")), checkpoint(five, 100)}, 6},
+		"confirmation that the checkpoint covers": {[]*intent.Record{confirmation("x", five, intentNamed("six")), checkpoint(five, 101)}, 5},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -73,10 +73,11 @@
 	}
 }
 
-// TestLaterFormat checks that a record of a later program stops the judging but not the serving.
+// TestLaterFormat checks that a record of a later format ends the exact state, while the
+// configuration in force stays available.
 func TestLaterFormat(t *testing.T) {
 	c := NewCore()
-	p := page(t, 0, confirmation("a", intent.Empty(), named("a")))
+	p := page(t, 0, confirmation("a", intent.Empty(), intentNamed("a")))
 	p.Records = append(p.Records, services.LogRecord{Offset: 1, At: start, Data: []byte(`{"version":99}`)})
 	c.Apply(start, p)
 	if _, exact := c.Judged(); exact || c.State().Revision != 1 {
@@ -84,20 +85,21 @@
 	}
 }
 
-// TestCheckpointDue checks the turns of the routers.
+// TestCheckpointDue checks that routers with a higher index wait longer before they write a
+// checkpoint.
 func TestCheckpointDue(t *testing.T) {
 	c := NewCore()
-	c.Apply(start, page(t, 0, confirmation("a", intent.Empty(), named("a"))))
+	c.Apply(start, page(t, 0, confirmation("a", intent.Empty(), intentNamed("a"))))
 	cases := map[string]struct {
 		after time.Duration
 		turn  int
 		want  bool
 	}{
-		"fresh":         {time.Minute, 0, false},
-		"half":          {30 * time.Minute, 0, true},
-		"half, third":   {30 * time.Minute, 2, false},
-		"later, third":  {34 * time.Minute, 2, true},
-		"well past all": {59 * time.Minute, 6, true},
+		"fresh":          {time.Minute, 0, false},
+		"half":           {30 * time.Minute, 0, true},
+		"half, third":    {30 * time.Minute, 2, false},
+		"later, third":   {34 * time.Minute, 2, true},
+		"past all waits": {59 * time.Minute, 6, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/services/configlog/explore_test.go
+++ b/services/configlog/explore_test.go
@@ -13,19 +13,19 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// explorer drives several cores over one log: racing and repeated confirmations, records that
-// arrive late, checkpoints written from old knowledge, trims, restarts and states from peers.
+// explorer runs several cores on one log with concurrent and duplicate confirmations, delayed
+// records, checkpoints of outdated states, trims, restarts and states adopted from peers.
 type explorer struct {
-	rnd   *rand.Rand
-	now   time.Time
-	first int
-	log   []services.LogRecord
-	cores []*Core
-	late  []*intent.Record
-	// accepted holds the digest that each revision has, as the first core to accept it says.
+	rnd       *rand.Rand
+	now       time.Time
+	firstKept int
+	log       []services.LogRecord
+	cores     []*Core
+	pending   []*intent.Record
+	// accepted maps each revision to the digest at the first core that had it in force.
 	accepted map[intent.Revision]intent.Digest
-	high     []intent.Revision
-	names    int
+	highest  []intent.Revision
+	intents  int
 	err      error
 	naive    bool
 }
@@ -34,7 +34,7 @@
 	x := &explorer{rnd: rand.New(rand.NewPCG(seed, 5)), now: time.Unix(1000, 0), accepted: map[intent.Revision]intent.Digest{}, naive: naive}
 	for range 4 {
 		x.cores = append(x.cores, NewCore())
-		x.high = append(x.high, 0)
+		x.highest = append(x.highest, 0)
 	}
 	return x
 }
@@ -60,7 +60,7 @@
 		x.emit()
 	case p < 78:
 		if _, exact := c.Judged(); exact && c.judged.Revision > 0 {
-			x.late = append(x.late, c.Checkpoint())
+			x.pending = append(x.pending, c.Checkpoint())
 		}
 	case p < 86:
 		j := x.rnd.IntN(len(x.cores))
@@ -69,42 +69,43 @@
 	case p < 89:
 		x.trim()
 	case p < 91:
-		x.cores[i], x.high[i] = NewCore(), 0
+		x.cores[i], x.highest[i] = NewCore(), 0
 	}
 }
 
-// confirm makes a record from a core's knowledge. It is added now, later, or twice.
+// confirm makes a confirmation based on the core's judged state. emit appends it later, possibly
+// more than once.
 func (x *explorer) confirm(c *Core) {
 	judged, exact := c.Judged()
 	if !exact {
 		return
 	}
-	x.names++
-	in := &intent.Intent{Version: 1, Deployment: fmt.Sprint("d", x.names), Rebalance: intent.Rebalance{Prefer: intent.PreferCost}}
-	x.late = append(x.late, &intent.Record{
-		Version: 1, Kind: intent.RecordConfirm, ID: intent.ConfirmID(fmt.Sprint(x.names)),
+	x.intents++
+	in := &intent.Intent{Version: 1, Deployment: fmt.Sprint("d", x.intents), Rebalance: intent.Rebalance{Prefer: intent.PreferCost}}
+	x.pending = append(x.pending, &intent.Record{
+		Version: 1, Kind: intent.RecordConfirm, ID: intent.ConfirmID(fmt.Sprint(x.intents)),
 		Revision: judged.Revision + 1, BaseDigest: judged.Digest, Intent: in,
 	})
 }
 
 func (x *explorer) emit() {
-	if len(x.late) == 0 {
+	if len(x.pending) == 0 {
 		return
 	}
-	k := x.rnd.IntN(len(x.late))
-	x.append(x.late[k])
+	k := x.rnd.IntN(len(x.pending))
+	x.append(x.pending[k])
 	if x.rnd.IntN(3) > 0 {
-		x.late = append(x.late[:k], x.late[k+1:]...)
+		x.pending = append(x.pending[:k], x.pending[k+1:]...)
 	}
 }
 
-// trim drops old records, but only up to a point after which a current checkpoint stands, as the
-// turn-taking of the routers sees to.
+// trim drops old records, but only up to a point that a current checkpoint follows. In production
+// the checkpoints of the routers ensure that.
 func (x *explorer) trim() {
 	for _, c := range x.cores {
 		if _, exact := c.Judged(); exact && c.next == services.Offset(len(x.log)) && c.judged.Revision > 0 {
 			x.append(c.Checkpoint())
-			x.first = len(x.log) - 1 - x.rnd.IntN(min(3, len(x.log)-x.first))
+			x.firstKept = len(x.log) - 1 - x.rnd.IntN(min(3, len(x.log)-x.firstKept))
 			return
 		}
 	}
@@ -112,9 +113,9 @@
 
 func (x *explorer) read(i int) {
 	c := x.cores[i]
-	from := max(int(c.Next()), x.first)
+	from := max(int(c.Next()), x.firstKept)
 	to := min(len(x.log), from+x.rnd.IntN(6))
-	page := services.Page{First: services.Offset(x.first), Tail: services.Offset(len(x.log)), Now: x.now}
+	page := services.Page{First: services.Offset(x.firstKept), Tail: services.Offset(len(x.log)), Now: x.now}
 	if from < to {
 		page.Records = x.log[from:to]
 	}
@@ -126,7 +127,7 @@
 	x.check(i)
 }
 
-// readNaive takes the latest record for the truth.
+// readNaive accepts the latest record without judging it.
 func (x *explorer) readNaive(c *Core, p services.Page) {
 	c.started, c.anchored = true, true
 	for _, r := range p.Records {
@@ -139,25 +140,25 @@
 	}
 }
 
-// check compares a core with what was accepted before: the same revision means the same intent
-// everywhere, and no core goes down.
+// check verifies that a revision has the same intent at all cores and that no core goes back to an
+// earlier revision.
 func (x *explorer) check(i int) {
 	s := x.cores[i].State()
 	if x.err != nil {
 		return
 	}
-	if s.Revision < x.high[i] {
-		x.err = fmt.Errorf("core %d went from revision %d to %d", i, x.high[i], s.Revision)
+	if s.Revision < x.highest[i] {
+		x.err = fmt.Errorf("core %d went from revision %d to %d", i, x.highest[i], s.Revision)
 	}
-	x.high[i] = s.Revision
+	x.highest[i] = s.Revision
 	if d, ok := x.accepted[s.Revision]; ok && d != s.Digest {
 		x.err = fmt.Errorf("revision %d is %s at core %d and %s elsewhere", s.Revision, s.Digest, i, d)
 	}
 	x.accepted[s.Revision] = s.Digest
 }
 
-// settle lets every core read to the end and checks that all agree.
-func (x *explorer) settle() {
+// catchUp lets every core read to the end of the log and checks that all exact cores agree.
+func (x *explorer) catchUp() {
 	for range len(x.log) + 8 {
 		for i := range x.cores {
 			x.read(i)
@@ -177,11 +178,11 @@
 	for range 300 {
 		x.step()
 	}
-	x.settle()
+	x.catchUp()
 	return x
 }
 
-// TestExplore runs many schedules. A failure names its seed.
+// TestExplore runs random schedules. A failure reports its seed.
 func TestExplore(t *testing.T) {
 	revisions := 0
 	for seed := range uint64(1500) {
@@ -192,11 +193,12 @@
 		revisions += len(x.accepted)
 	}
 	if revisions < 1500*5 {
-		t.Errorf("only %d revisions: the schedules show little", revisions)
+		t.Errorf("only %d revisions: the schedules cover too little", revisions)
 	}
 }
 
-// TestExploreNaive checks that the schedules break a reader that takes the latest record.
+// TestExploreNaive checks that the schedules detect a reader that accepts the latest record
+// without judging it.
 func TestExploreNaive(t *testing.T) {
 	for seed := range uint64(50) {
 		if explore(seed, true).err != nil {
--- a/services/configlog/follower.go
+++ b/services/configlog/follower.go
@@ -24,13 +24,13 @@
 const Stream services.Stream = "config"
 
 const (
-	// pollWait is how long one read waits for new records.
+	// pollWait is the long-poll wait of one read.
 	pollWait = 500 * time.Millisecond
-	// readTimeout bounds one read, the wait included.
+	// readTimeout bounds one read, including pollWait.
 	readTimeout = 3 * time.Second
 	// appendTimeout bounds one append.
 	appendTimeout = 3 * time.Second
-	// retryMin and retryMax bound the pause after a failed read.
+	// retryMin and retryMax bound the back-off after a failed read.
 	retryMin = 50 * time.Millisecond
 	retryMax = 2 * time.Second
 )
@@ -45,15 +45,15 @@
 	mu      sync.Mutex
 	core    *Core
 	changed chan struct{}
-	// contact is the time of the latest successful read.
-	contact time.Time
-	// peersAsked holds the peers whose state was taken in since the start.
-	peersAsked map[string]bool
+	// lastContact is the time of the latest successful read.
+	lastContact time.Time
+	// adoptedPeers holds the peers whose state was adopted since the start.
+	adoptedPeers map[string]bool
 }
 
 // NewFollower returns a follower of the configuration stream.
 func NewFollower(l services.Log, ring *timeline.Ring, logger zerolog.Logger) *Follower {
-	return &Follower{log: l, ring: ring, logger: logger, core: NewCore(), changed: make(chan struct{}), peersAsked: map[string]bool{}}
+	return &Follower{log: l, ring: ring, logger: logger, core: NewCore(), changed: make(chan struct{}), adoptedPeers: map[string]bool{}}
 }
 
 // Run reads the log until ctx ends.
@@ -63,14 +63,14 @@
 	for ctx.Err() == nil {
 		if err := f.readOnce(ctx); err != nil {
 			f.logger.Debug().Err(err).Msg("configuration log read failed")
-			wait(ctx, pause.NextBackOff())
+			sleep(ctx, pause.NextBackOff())
 			continue
 		}
 		pause.Reset()
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -98,19 +98,19 @@
 
 func (f *Follower) apply(now time.Time, p services.Page) {
 	f.mu.Lock()
-	notes := f.core.Apply(now, p)
-	f.contact = now
-	f.announce()
+	events := f.core.Apply(now, p)
+	f.lastContact = now
+	f.notifyChanged()
 	f.mu.Unlock()
-	for _, n := range notes {
+	for _, n := range events {
 		detail := fmt.Sprintf("offset=%d revision=%d id=%s %s", n.Offset, n.Revision, n.ID, n.Detail)
 		f.ring.Add(now, timeline.Event{Kind: timeline.KindConfig, Name: string(n.Kind), Detail: detail})
 		f.logger.Info().Str("note", string(n.Kind)).Uint64("offset", uint64(n.Offset)).Uint64("revision", uint64(n.Revision)).Str("detail", n.Detail).Msg("configuration")
 	}
 }
 
-// announce wakes everyone who waits for a change. The caller holds the lock.
-func (f *Follower) announce() {
+// notifyChanged wakes all goroutines that wait for a change. The caller holds the lock.
+func (f *Follower) notifyChanged() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
@@ -122,46 +122,46 @@
 	return f.core.State()
 }
 
-// Peer returns the state to hand to another process.
+// Peer returns the state to send to another process.
 func (f *Follower) Peer() PeerState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.core.Peer()
 }
 
-// Contact returns the time of the latest successful read, or zero.
+// Contact returns the time of the latest successful read, or the zero time.
 func (f *Follower) Contact() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.contact
+	return f.lastContact
 }
 
-// Changed returns a channel that closes at the next change.
+// Changed returns a channel that is closed at the next change.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// Adopt takes in the configuration of a peer at an address.
+// Adopt merges the state of the peer at an address.
 func (f *Follower) Adopt(now time.Time, from string, p PeerState) {
 	f.mu.Lock()
-	rose := f.core.Adopt(now, p)
-	f.peersAsked[from] = true
+	raised := f.core.Adopt(now, p)
+	f.adoptedPeers[from] = true
 	rev := f.core.State().Revision
-	f.announce()
+	f.notifyChanged()
 	f.mu.Unlock()
-	if rose {
+	if raised {
 		f.ring.Add(now, timeline.Event{Kind: timeline.KindConfig, Name: "adopted", Detail: fmt.Sprintf("revision=%d", rev)})
 	}
 }
 
-// Ready reports whether the configuration in force may be served: the log was read to the tail
-// it had at the start, or enough peers were asked while the log is out of reach.
+// Ready reports whether the configuration in force may be used: the log was read up to its tail at
+// the first read, or the states of peersWanted peers were adopted while the log is unreachable.
 func (f *Follower) Ready(peersWanted int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.core.CaughtUp() || (len(f.peersAsked) >= peersWanted && peersWanted > 0 && f.core.State().Revision > 0)
+	return f.core.CaughtUp() || (len(f.adoptedPeers) >= peersWanted && peersWanted > 0 && f.core.State().Revision > 0)
 }
 
 // ErrConflict reports a confirmation whose base is not the configuration in force.
@@ -171,11 +171,11 @@
 }
 
 func (e ErrConflict) Error() string {
-	return fmt.Sprintf("plan was made against revision %d, revision %d is in force: make a new plan", e.Want, e.Have)
+	return fmt.Sprintf("plan is based on revision %d but revision %d is in force: make a new plan", e.Want, e.Have)
 }
 
 // ErrNotAnchored reports that this process cannot judge confirmations at present.
-var ErrNotAnchored = eris.New("the log is not read to its end: confirmations cannot be judged here now")
+var ErrNotAnchored = eris.New("no exact configuration state known: this process cannot judge confirmations at present")
 
 // ErrOutcomeUnknown reports that a confirmation may or may not be accepted later.
 type ErrOutcomeUnknown struct {
@@ -184,18 +184,19 @@
 }
 
 func (e ErrOutcomeUnknown) Error() string {
-	return fmt.Sprintf("outcome of confirmation %s is unknown, ask for it again: %v", e.ID, e.Cause)
+	return fmt.Sprintf("outcome of confirmation %s is unknown, query it again: %v", e.ID, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e ErrOutcomeUnknown) Unwrap() error { return e.Cause }
 
-// Confirm appends a confirmation and waits until it has been read back.
-// It returns ErrConflict if the plan is out of date, and ErrOutcomeUnknown if ctx ended before an answer.
+// Confirm appends a confirmation and waits until its record has been read back. It returns
+// ErrConflict if the plan is out of date, and ErrOutcomeUnknown if ctx ends before the record is
+// read.
 func (f *Follower) Confirm(ctx context.Context, id intent.ConfirmID, p intent.Plan) (Outcome, error) {
-	rec, known, err := f.prepare(id, p)
+	rec, known, err := f.prepareRecord(id, p)
 	if err != nil || known != nil {
-		return valueOr(known), err
+		return outcomeOrZero(known), err
 	}
 	raw, err := rec.Encode()
 	if err != nil {
@@ -208,17 +209,17 @@
 	if errors.As(appendErr, &unsent) {
 		return Outcome{}, fmt.Errorf("confirmation %s was not appended: %w", id, appendErr)
 	}
-	return f.await(ctx, id, appendErr)
+	return f.awaitOutcome(ctx, id, appendErr)
 }
 
-func valueOr(o *Outcome) Outcome {
+func outcomeOrZero(o *Outcome) Outcome {
 	if o == nil {
 		return Outcome{}
 	}
 	return *o
 }
 
-func (f *Follower) prepare(id intent.ConfirmID, p intent.Plan) (*intent.Record, *Outcome, error) {
+func (f *Follower) prepareRecord(id intent.ConfirmID, p intent.Plan) (*intent.Record, *Outcome, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if o := f.core.Outcome(id); o.Verdict != VerdictUnknown {
@@ -241,7 +242,7 @@
 	}, nil, nil
 }
 
-func (f *Follower) await(ctx context.Context, id intent.ConfirmID, cause error) (Outcome, error) {
+func (f *Follower) awaitOutcome(ctx context.Context, id intent.ConfirmID, cause error) (Outcome, error) {
 	for {
 		f.mu.Lock()
 		o, changed := f.core.Outcome(id), f.changed
@@ -257,21 +258,22 @@
 	}
 }
 
-// Outcome returns what became of a confirmation.
+// Outcome returns the outcome of a confirmation.
 func (f *Follower) Outcome(id intent.ConfirmID) Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.core.Outcome(id)
 }
 
-// KeepAlive repeats the configuration in the log when that is due. Turn is this router's place
-// among the live routers; othersAnchored says whether any other router has an exact state.
-func (f *Follower) KeepAlive(ctx context.Context, now time.Time, retention time.Duration, turn int, othersAnchored bool) error {
+// KeepAlive appends a checkpoint to the log when one is due, before the records that hold the
+// configuration expire. The routerIndex is its index among the live routers; othersAnchored
+// reports whether any other router has an exact state.
+func (f *Follower) KeepAlive(ctx context.Context, now time.Time, retention time.Duration, routerIndex int, othersAnchored bool) error {
 	f.mu.Lock()
 	var rec *intent.Record
-	if f.core.CheckpointDue(now, retention, turn) {
+	if f.core.CheckpointDue(now, retention, routerIndex) {
 		rec = f.core.Checkpoint()
-	} else if r, ok := f.core.RecoveryCheckpoint(); ok && !othersAnchored && turn == 0 {
+	} else if r, ok := f.core.RecoveryCheckpoint(); ok && !othersAnchored && routerIndex == 0 {
 		rec = r
 	}
 	f.mu.Unlock()
