--- a/services/membership/message.go
+++ b/services/membership/message.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package membership tells which routers and agents are alive, leaving or suspect.
-// It joins three sources: the platform's lagging list, direct heartbeats, and what other routers say.
+// Package membership tracks which routers and agents are alive, leaving or suspect. It combines
+// three sources: the platform's VM list, which lags, direct heartbeats, and gossip of other
+// routers.
 package membership
 
 import (
@@ -20,20 +21,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Interval is the time between two heartbeats of a process to one router. It is a setting and the
-// same at all processes; all other times of membership follow from it.
+// Interval is the time between two heartbeats of a process to one router. It is a setting with the
+// same value at all processes; the other time limits of membership are multiples of it.
 type Interval time.Duration
 
 // Beat returns the time between two heartbeats.
 func (i Interval) Beat() time.Duration { return time.Duration(i) }
 
-// Suspect returns how long a process may be silent before it gets no new work.
+// Suspect returns the time without a heartbeat after which a process is suspect and gets no new
+// work.
 func (i Interval) Suspect() time.Duration { return 5 * time.Duration(i) }
 
-// Proved returns how lately an agent must have proved that it is awake to count as alive for others.
+// Proved returns the maximum age of an agent's last proof of liveness at which a router reports it
+// to other routers as alive.
 func (i Interval) Proved() time.Duration { return 2 * time.Duration(i) }
 
-// ForgetAfter is how long a silent process stays in the tables.
+// ForgetAfter is how long a process without heartbeats is kept in the tables.
 const ForgetAfter = 10 * time.Minute
 
 // Load is what an agent reports about its upstream.
@@ -48,9 +51,9 @@
 	Step uint64
 	// Map is the version of the expert map of the rank.
 	Map uint64
-	// Skew is the largest rank load of the group against the mean.
+	// Skew is the ratio of the largest rank load of the group to the mean.
 	Skew float64
-	// Concurrency is the number of requests the upstream works on at a time.
+	// Concurrency is the number of requests that the upstream processes at a time.
 	Concurrency int
 }
 
@@ -58,24 +61,26 @@
 type Beat struct {
 	Upstream    upstream.ID
 	Incarnation upstream.Incarnation
-	// Brief says that the fields that seldom change are left out: the router has them (Reply.Have).
+	// Brief reports whether the fields that seldom change are left out because the router has them
+	// already (Reply.Have).
 	Brief bool
 	// Seq numbers the heartbeats of an incarnation.
 	Seq        uint64
 	Service    service.ID
 	DataCentre vm.DataCentre
 	RPC, HTTP  string
-	// Engine is the address of the upstream itself; ChecksFence says whether it refuses old orders.
+	// Engine is the address of the upstream itself; ChecksFence reports whether it refuses orders with
+	// an old fence.
 	Engine      string
 	ChecksFence bool
 	State       upstream.State
 	Revision    intent.Revision
 	Load        Load
 	Owned       map[request.Slice]once.Epoch
-	// Known is the fingerprint of the lists in the router's latest full reply: lists that have not
-	// changed are not sent again, or the bytes would grow with the square of the agents.
+	// Known is the fingerprint of the lists in the router's latest full reply. Unchanged lists are not
+	// sent again, since the traffic would grow with the square of the number of agents.
 	Known uint64
-	// Echo is the nonce of the router's latest reply: proof that the agent is awake now.
+	// Echo is the nonce of the router's latest reply; it proves that the agent is alive now.
 	Echo  uint64
 	Stamp timeline.Stamp
 }
@@ -100,32 +105,33 @@
 	State       RouterState   `json:"state"`
 }
 
-// RouterBeat is the heartbeat of a router to another.
+// RouterBeat is the heartbeat of one router to another.
 type RouterBeat struct {
 	Info     RouterInfo
 	Revision intent.Revision
 	Anchored bool
-	// LogAge is how long the log has been out of the sender's reach.
+	// LogAge is how long the log has been unreachable for the sender.
 	LogAge time.Duration
-	// Retired says that the sender stops and has sent no key without the log.
+	// Retired reports whether the sender is stopping and has sent no key without the log.
 	Retired bool
-	// Leaving lists upstreams that the sender knows to be leaving.
+	// Leaving lists upstreams that the sender has learned to be leaving.
 	Leaving []upstream.ID
-	// Lost lists routers of which the sender cannot say that they died before they could send keys without the log.
+	// Lost lists routers that may have sent keys without the log before they stopped, as far as the
+	// sender can tell.
 	Lost []Lost
-	// Agents tells about the agents that beat to the sender.
+	// Agents holds the state of the agents that send heartbeats to the sender.
 	Agents Relay
 	// Known is the fingerprint of the list in the receiver's latest full reply.
 	Known uint64
 	Stamp timeline.Stamp
 }
 
-// Lost is a router whose register of sent keys is gone or out of reach.
+// Lost is a router whose register of sent keys is lost or unreachable.
 type Lost struct {
 	Incarnation string
-	// Fresh is how long ago it is known to have had the log.
+	// Fresh is the time since the router last had contact with the log, as far as known.
 	Fresh time.Duration
-	// Gone is how long ago it was known to be dead, or 0 if it is not known to be.
+	// Gone is the time since the router was known to be dead, or 0 if it is not known to be dead.
 	Gone time.Duration
 }
 
@@ -135,13 +141,14 @@
 	Revision intent.Revision
 	Anchored bool
 	LogAge   time.Duration
-	// Lists is the fingerprint of Routers, which is empty if the sender knows it.
+	// Lists is the fingerprint of Routers. Routers is empty if the receiver of the reply has that list
+	// already.
 	Lists   uint64
 	Routers []RouterInfo
 	Stamp   timeline.Stamp
 }
 
-// MemberInfo tells an agent about another agent of its service.
+// MemberInfo describes an agent to another agent of its service.
 type MemberInfo struct {
 	Owner       once.Owner
 	HTTP        string
@@ -158,16 +165,16 @@
 	Revision intent.Revision
 	// Have is the fingerprint of the agent's latest full heartbeat, or 0 if the router has none.
 	Have uint64
-	// Lists is the fingerprint of Routers and Members, which are empty if the agent knows them.
+	// Lists is the fingerprint of Routers and Members, which are empty if the agent has them already.
 	Lists   uint64
 	Routers []RouterInfo
 	Members []MemberInfo
-	// Leave says that the platform or the configuration takes the upstream away.
+	// Leave reports whether the platform or the configuration removes the upstream.
 	Leave bool
 	Stamp timeline.Stamp
 }
 
-// Fingerprint returns a short fingerprint of the lists of a reply. It is never 0.
+// Fingerprint returns a fingerprint of the lists of a reply. It is never 0.
 func Fingerprint(routers []RouterInfo, members []MemberInfo) uint64 {
 	h := xxhash.New()
 	for _, r := range routers {
--- a/services/membership/relay.go
+++ b/services/membership/relay.go
@@ -14,18 +14,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// An agent beats to a few routers, its homes. Routers tell each other about the agents they are home
-// to: all that is known when it changes; the loads, as often as a budget of bytes allows; and in every
-// heartbeat the few that have fallen silent. Who was told and is not named silent is alive.
+// An agent sends heartbeats to a few routers, its home routers. Routers gossip about the agents
+// that they are home to: the full state when it changes; the loads as often as a byte budget
+// allows; and in every heartbeat the agents that became silent. An agent that was reported and is
+// not listed as silent is alive.
 
-// Digest tells a router about an agent that beats elsewhere.
+// Digest is the full state of an agent, sent to a router that does not receive its heartbeats.
 type Digest struct {
 	Beat Beat
-	// Age is the time since the agent last proved that it is awake.
+	// Age is the time since the agent's last proof of liveness.
 	Age time.Duration
 }
 
-// LoadDigest is the part of a Digest that changes all the time.
+// LoadDigest is the frequently changing part of a Digest.
 type LoadDigest struct {
 	Upstream upstream.ID
 	Seq      uint64
@@ -33,81 +34,82 @@
 	Load     Load
 }
 
-// Relay holds what one message between routers tells about agents.
+// Relay is the gossip about agents in one message between routers.
 type Relay struct {
-	// Reset says that what was told before no longer holds: a message may have been lost.
+	// Reset reports whether earlier messages are void because one may have been lost.
 	Reset bool
 	Full  []Digest
 	Loads []LoadDigest
-	// Silent lists agents that were told and have not proved lately that they are awake.
+	// Silent lists agents that were reported before and have sent no proof of liveness within
+	// Interval.Proved.
 	Silent []upstream.ID
 }
 
 const (
-	// loadBytes is about what one LoadDigest takes on the wire.
+	// loadBytes is the approximate size of one LoadDigest on the wire.
 	loadBytes = 45
-	// loadBudget is what a router spends on load digests, in bytes a second.
-	loadBudget = 12000
+	// loadBytesPerSecond is the traffic limit of a router's load digests, in bytes per second.
+	loadBytesPerSecond = 12000
 )
 
-// loadInterval is the time between two tellings of all loads to all peers, within the budget.
+// loadInterval returns the time between two reports of all loads to all peers, within the budget.
 func loadInterval(i Interval, agents, peers int) time.Duration {
-	need := time.Duration(agents*peers*loadBytes) * time.Second / loadBudget
+	need := time.Duration(agents*peers*loadBytes) * time.Second / loadBytesPerSecond
 	return max(i.Beat(), need)
 }
 
-// refreshEvery is the time after which all is told again even if nothing has changed.
-const refreshEvery = 10 * time.Second
+// refreshInterval is the time after which the full state is sent again even if it has not changed.
+const refreshInterval = 10 * time.Second
 
-// told is what a peer was last told in full about one agent.
-type toldOf struct {
+// sentDigest records the last full digest of one agent that a peer was sent.
+type sentDigest struct {
 	fingerprint uint64
 	at          time.Time
 }
 
-// Outbox remembers what each peer was told, for one router. It does no I/O and reads no clock.
+// Outbox records what one router has sent to each peer. It does no I/O and reads no clock.
 type Outbox struct {
-	peers map[string]*toldPeer
+	peers map[string]*peerRecord
 }
 
-// toldPeer is what one peer was told.
-type toldPeer struct {
-	agents map[upstream.ID]toldOf
-	// loadsAt is the time the peer was last told the loads.
+// peerRecord records what one peer was sent.
+type peerRecord struct {
+	agents map[upstream.ID]sentDigest
+	// loadsAt is the time at which the loads were last sent to the peer.
 	loadsAt time.Time
 }
 
-// NewOutbox returns an outbox that has told nobody anything.
-func NewOutbox() *Outbox { return &Outbox{peers: map[string]*toldPeer{}} }
+// NewOutbox returns an outbox without any peer.
+func NewOutbox() *Outbox { return &Outbox{peers: map[string]*peerRecord{}} }
 
-// Forget drops what a peer was told: it did not answer, or it has restarted.
+// Forget drops the record of a peer that did not answer or has restarted.
 func (o *Outbox) Forget(peer string) { delete(o.peers, peer) }
 
-// For makes the message for a peer about the agents that beat to this router.
+// For builds the message for a peer about the agents that send heartbeats to this router.
 func (o *Outbox) For(now time.Time, peer string, t *Table) Relay {
 	p, ok := o.peers[peer]
 	if !ok {
-		p = &toldPeer{agents: map[upstream.ID]toldOf{}}
+		p = &peerRecord{agents: map[upstream.ID]sentDigest{}}
 		o.peers[peer] = p
 	}
 	out := Relay{Reset: !ok}
 	var loads []LoadDigest
 	for id, r := range t.agents {
-		age := now.Sub(r.proved)
-		k, told := p.agents[id]
-		if r.proved.IsZero() || age > t.interval.Proved() {
-			if told {
+		age := now.Sub(r.provedAt)
+		last, reported := p.agents[id]
+		if r.provedAt.IsZero() || age > t.interval.Proved() {
+			if reported {
 				out.Silent = append(out.Silent, id)
 				delete(p.agents, id)
 			}
 			continue
 		}
-		f := r.print
-		if told && k.fingerprint == f && now.Sub(k.at) < refreshEvery {
+		fingerprint := r.fingerprint
+		if reported && last.fingerprint == fingerprint && now.Sub(last.at) < refreshInterval {
 			loads = append(loads, LoadDigest{Upstream: id, Seq: r.beat.Seq, Age: age, Load: r.beat.Load})
 			continue
 		}
-		p.agents[id] = toldOf{fingerprint: f, at: now}
+		p.agents[id] = sentDigest{fingerprint: fingerprint, at: now}
 		out.Full = append(out.Full, Digest{Beat: r.beat, Age: age})
 	}
 	if now.Sub(p.loadsAt) >= loadInterval(t.interval, len(loads), len(o.peers)) {
@@ -116,7 +118,8 @@
 	return out
 }
 
-// Fingerprint covers all of a heartbeat but its load and its marks. It is never 0.
+// Fingerprint covers the fields of a heartbeat that seldom change, which excludes the load, Seq,
+// Known, Echo and Stamp. It is never 0.
 func (b *Beat) Fingerprint() uint64 {
 	h := xxhash.New()
 	_, _ = fmt.Fprintf(h, "%s %s %s %s %s %t %s %d", b.Incarnation, b.RPC, b.HTTP, b.Engine, b.DataCentre, b.ChecksFence, b.State, b.Revision)
@@ -131,7 +134,7 @@
 	return max(h.Sum64(), 1)
 }
 
-// Shorten returns the heartbeat without the fields that a router has already.
+// Shorten returns the brief form of the heartbeat, without the fields that the router has already.
 func (b *Beat) Shorten() Beat {
 	return Beat{
 		Upstream: b.Upstream, Incarnation: b.Incarnation, Service: b.Service, Seq: b.Seq, Brief: true,
@@ -139,37 +142,37 @@
 	}
 }
 
-// Relay takes in what another router tells, and returns the upstreams whose load is news.
+// Relay merges the gossip of another router and returns the upstreams whose load was updated.
 func (t *Table) Relay(now time.Time, from string, m Relay) []upstream.ID {
-	heard, ok := t.heard[from]
+	reported, ok := t.reportedBy[from]
 	if !ok || m.Reset {
-		heard = map[upstream.ID]upstream.Incarnation{}
-		t.heard[from] = heard
+		reported = map[upstream.ID]upstream.Incarnation{}
+		t.reportedBy[from] = reported
 	}
-	var news []upstream.ID
+	var updated []upstream.ID
 	for _, d := range m.Full {
-		heard[d.Beat.Upstream] = d.Beat.Incarnation
+		reported[d.Beat.Upstream] = d.Beat.Incarnation
 		if t.relayFull(now, d) {
-			news = append(news, d.Beat.Upstream)
+			updated = append(updated, d.Beat.Upstream)
 		}
 	}
 	for _, id := range m.Silent {
-		delete(heard, id)
+		delete(reported, id)
 	}
 	for _, d := range m.Loads {
 		r, ok := t.agents[d.Upstream]
 		if ok && d.Seq > r.beat.Seq {
 			r.beat.Load, r.beat.Seq = d.Load, d.Seq
 			r.loadAt = now.Add(-d.Age)
-			news = append(news, d.Upstream)
+			updated = append(updated, d.Upstream)
 		}
 	}
-	for id, incarnation := range heard {
+	for id, incarnation := range reported {
 		if r, ok := t.agents[id]; ok && r.beat.Incarnation == incarnation {
-			r.seen(now.Add(-t.interval.Proved()))
+			r.recordAlive(now.Add(-t.interval.Proved()))
 		}
 	}
-	return news
+	return updated
 }
 
 func (t *Table) relayFull(now time.Time, d Digest) bool {
@@ -178,19 +181,19 @@
 		return false
 	}
 	if !ok || r.beat.Incarnation != d.Beat.Incarnation {
-		r = &record{first: now}
+		r = &record{firstSeen: now}
 		t.agents[d.Beat.Upstream] = r
 	} else if d.Beat.Seq <= r.beat.Seq {
 		return false
 	}
-	r.take(now, d.Beat)
+	r.store(now, d.Beat)
 	r.loadAt = now.Add(-d.Age)
-	r.seen(r.loadAt)
+	r.recordAlive(r.loadAt)
 	return true
 }
 
-// seen notes that the agent was awake at a time.
-func (r *record) seen(at time.Time) {
+// recordAlive records that the agent was alive at a time.
+func (r *record) recordAlive(at time.Time) {
 	if at.After(r.lastBeat) {
 		r.lastBeat = at
 	}
--- a/services/membership/relay_test.go
+++ b/services/membership/relay_test.go
@@ -10,7 +10,7 @@
 	"fawnwinch.org/fawnwinch/models/upstream"
 )
 
-// TestRelay lets a home router tell another one about an agent.
+// TestRelay checks what a router learns about an agent by gossip from the agent's home router.
 func TestRelay(t *testing.T) {
 	const id = upstream.ID("u")
 	home, other, out := NewTable(testInterval), NewTable(testInterval), NewOutbox()
@@ -39,10 +39,10 @@
 	}
 	beat(now, upstream.StateReady, 1)
 	if m := relay(now); len(m.Full) != 0 {
-		t.Errorf("told of an agent that has proved nothing: %+v", m)
+		t.Errorf("reported an agent without a proof of liveness: %+v", m)
 	}
 	tick(upstream.StateReady, 2)
-	check(now, "told in full", false, false, 2)
+	check(now, "full digest", false, false, 2)
 	if m := tick(upstream.StateReady, 3); len(m.Full) != 0 || len(m.Loads) != 1 {
 		t.Errorf("nothing but the load has changed: %+v", m)
 	}
@@ -55,13 +55,13 @@
 		now = now.Add(testInterval.Beat())
 		relay(now)
 	}
-	check(now, "the agent fell silent", true, false, 4)
+	check(now, "agent became silent", true, false, 4)
 	tick(upstream.StateReady, 5)
 	tick(upstream.StateReady, 5)
-	check(now, "awake again", false, false, 5)
-	check(now.Add(testInterval.Suspect()+testInterval.Beat()), "the home fell silent", true, false, 5)
+	check(now, "agent alive again", false, false, 5)
+	check(now.Add(testInterval.Suspect()+testInterval.Beat()), "home router became silent", true, false, 5)
 
-	// The message that names an agent silent is lost.
+	// The message that lists the agent as silent is lost.
 	for range 3 {
 		now = now.Add(testInterval.Beat())
 		out.For(now, "other", home)
@@ -71,7 +71,7 @@
 		now = now.Add(testInterval.Beat())
 		relay(now)
 	}
-	check(now, "silent by a lost message", true, false, 5)
+	check(now, "agent silent after a lost message", true, false, 5)
 }
 
 func TestLoadInterval(t *testing.T) {
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestBrief checks that a brief heartbeat says the same as a full one, and that a router which has no
-// full one asks for it.
+// TestBrief checks that a brief heartbeat is equivalent to a full one, and that a router without a
+// full heartbeat requests one.
 func TestBrief(t *testing.T) {
 	full := Beat{Upstream: "u", Incarnation: "1", Service: "s", Seq: 1, RPC: "10.0.0.1:1", State: upstream.StateReady}
 	known, fresh := NewTable(testInterval), NewTable(testInterval)
@@ -100,7 +100,7 @@
 	next := full
 	next.Seq, next.Echo, next.Load.InFlight = 2, echo, 7
 	if known.Have("u") != next.Fingerprint() {
-		t.Error("the router does not know that it has the full heartbeat")
+		t.Error("the router does not report the fingerprint of the full heartbeat")
 	}
 	known.Beat(start, next.Shorten())
 	e, _ := known.Entry(start, "u")
@@ -109,6 +109,6 @@
 	}
 	fresh.Beat(start, next.Shorten())
 	if fresh.Have("u") != 0 {
-		t.Error("a router that has only a brief heartbeat does not ask for a full one")
+		t.Error("a router with only a brief heartbeat does not request a full one")
 	}
 }
--- a/services/membership/routers.go
+++ b/services/membership/routers.go
@@ -11,19 +11,19 @@
 	"fawnwinch.org/fawnwinch/models/vm"
 )
 
-// Peer is what a router knows about another one.
+// Peer is a router's view of another router.
 type Peer struct {
 	Info     RouterInfo
 	LastBeat time.Time
-	// Fresh is the latest time at which the router is known to have had the log.
+	// Fresh is the latest time at which the router is known to have had contact with the log.
 	Fresh    time.Time
 	Revision intent.Revision
 	Anchored bool
 	Retired  bool
-	// gone is the time at which the router was known to be dead, or zero.
-	gone time.Time
-	// hearsay marks a router known only from another one's word.
-	hearsay bool
+	// deadSince is the time at which the router was first known to be dead, or zero.
+	deadSince time.Time
+	// gossipOnly reports whether the router is known only by gossip of other routers.
+	gossipOnly bool
 }
 
 // Routers is a router's view of the other routers. It does no I/O and reads no clock.
@@ -32,17 +32,17 @@
 
 	self  RouterInfo
 	peers map[string]*Peer
-	// addresses holds the rpc addresses to call: from the settings, the platform's list and gossip.
+	// addresses maps each rpc address from the platform's list and from gossip to its expiry.
 	addresses map[string]time.Time
 	seeds     []string
 }
 
-// NewRouters returns the view of a router that knows only the addresses in its settings.
+// NewRouters returns the view of a router that has only the addresses in its settings.
 func NewRouters(i Interval, self RouterInfo, seeds []string) *Routers {
 	return &Routers{interval: i, self: self, peers: map[string]*Peer{}, addresses: map[string]time.Time{}, seeds: seeds}
 }
 
-// Addresses returns the rpc addresses of all routers that may be alive, without this one.
+// Addresses returns the rpc addresses of all other routers that may be alive.
 func (r *Routers) Addresses(now time.Time) []string {
 	all := append([]string(nil), r.seeds...)
 	for a, until := range r.addresses {
@@ -55,33 +55,33 @@
 	return slices.DeleteFunc(all, func(a string) bool { return a == r.self.RPC })
 }
 
-// addressFor is how long an address heard of is called without an answer.
-const addressFor = 10 * time.Second
+// addressTTL is how long a learned address is called without an answer.
+const addressTTL = 10 * time.Second
 
-// VMs takes in the platform's list: a router that it no longer holds is dead.
+// VMs applies the platform's list: a silent router that is not in it is dead.
 func (r *Routers) VMs(now time.Time, list []vm.VM) {
 	listed := map[string]bool{}
 	for _, v := range list {
 		if v.Role == vm.RoleRouter {
 			listed[v.RPC] = true
-			r.addresses[v.RPC] = now.Add(addressFor)
+			r.addresses[v.RPC] = now.Add(addressTTL)
 		}
 	}
 	for _, p := range r.peers {
-		if !listed[p.Info.RPC] && p.gone.IsZero() && now.Sub(p.LastBeat) > r.interval.Suspect() {
-			p.gone = now
+		if !listed[p.Info.RPC] && p.deadSince.IsZero() && now.Sub(p.LastBeat) > r.interval.Suspect() {
+			p.deadSince = now
 		}
 	}
 }
 
-// Beat takes in what a router says about itself.
+// Beat applies the heartbeat of a router.
 func (r *Routers) Beat(now time.Time, b RouterBeat) {
 	if b.Info.Incarnation == r.self.Incarnation {
 		return
 	}
 	for _, p := range r.peers {
-		if p.Info.RPC == b.Info.RPC && p.Info.Incarnation != b.Info.Incarnation && p.gone.IsZero() {
-			p.gone = now
+		if p.Info.RPC == b.Info.RPC && p.Info.Incarnation != b.Info.Incarnation && p.deadSince.IsZero() {
+			p.deadSince = now
 		}
 	}
 	p, ok := r.peers[b.Info.Incarnation]
@@ -90,43 +90,43 @@
 		r.peers[b.Info.Incarnation] = p
 	}
 	p.Revision = b.Revision
-	p.Info, p.LastBeat, p.Anchored, p.hearsay, p.gone = b.Info, now, b.Anchored, false, time.Time{}
+	p.Info, p.LastBeat, p.Anchored, p.gossipOnly, p.deadSince = b.Info, now, b.Anchored, false, time.Time{}
 	p.Retired = p.Retired || b.Retired
 	if fresh := now.Add(-b.LogAge); fresh.After(p.Fresh) {
 		p.Fresh = fresh
 	}
-	r.addresses[b.Info.RPC] = now.Add(addressFor)
-	r.hear(now, b.Lost)
+	r.addresses[b.Info.RPC] = now.Add(addressTTL)
+	r.mergeLost(now, b.Lost)
 }
 
-// hear takes in another router's word about lost ones.
-func (r *Routers) hear(now time.Time, lost []Lost) {
+// mergeLost merges another router's report of lost routers.
+func (r *Routers) mergeLost(now time.Time, lost []Lost) {
 	for _, l := range lost {
 		if _, ok := r.peers[l.Incarnation]; ok || l.Incarnation == r.self.Incarnation {
 			continue
 		}
-		p := &Peer{Info: RouterInfo{Incarnation: l.Incarnation, State: RouterLeaving}, Fresh: now.Add(-l.Fresh), LastBeat: now.Add(-l.Fresh), hearsay: true}
+		p := &Peer{Info: RouterInfo{Incarnation: l.Incarnation, State: RouterLeaving}, Fresh: now.Add(-l.Fresh), LastBeat: now.Add(-l.Fresh), gossipOnly: true}
 		if l.Gone > 0 {
-			p.gone = now.Add(-l.Gone)
+			p.deadSince = now.Add(-l.Gone)
 		}
 		r.peers[l.Incarnation] = p
 	}
 }
 
-// Hint notes an address of a router.
+// Hint adds addresses of routers that another router has reported.
 func (r *Routers) Hint(now time.Time, infos []RouterInfo) {
 	for _, i := range infos {
 		if i.RPC != r.self.RPC {
-			r.addresses[i.RPC] = now.Add(addressFor)
+			r.addresses[i.RPC] = now.Add(addressTTL)
 		}
 	}
 }
 
-// Live returns the routers that beat, this one included, sorted by id.
+// Live returns the routers with recent heartbeats, including this one, sorted by id.
 func (r *Routers) Live(now time.Time) []RouterInfo {
 	out := []RouterInfo{r.self}
 	for _, p := range r.peers {
-		if now.Sub(p.LastBeat) <= r.interval.Suspect() && !p.hearsay {
+		if now.Sub(p.LastBeat) <= r.interval.Suspect() && !p.gossipOnly {
 			out = append(out, p.Info)
 		}
 	}
@@ -139,17 +139,17 @@
 	return out
 }
 
-// Restarted reports whether a router runs as another incarnation than the one known at its address.
+// Restarted reports whether the incarnation of a router is unknown here.
 func (r *Routers) Restarted(i RouterInfo) bool {
 	_, known := r.peers[i.Incarnation]
 	return !known
 }
 
-// Peers returns the other routers that beat.
+// Peers returns the other routers with recent heartbeats.
 func (r *Routers) Peers(now time.Time) []Peer {
 	var out []Peer
 	for _, p := range r.peers {
-		if now.Sub(p.LastBeat) <= r.interval.Suspect() && !p.hearsay {
+		if now.Sub(p.LastBeat) <= r.interval.Suspect() && !p.gossipOnly {
 			out = append(out, *p)
 		}
 	}
@@ -162,7 +162,7 @@
 // Self returns this router's own description.
 func (r *Routers) Self() RouterInfo { return r.self }
 
-// AnchoredElsewhere reports whether another live router has an exact configuration.
+// AnchoredElsewhere reports whether another live router has an exact configuration state.
 func (r *Routers) AnchoredElsewhere(now time.Time) bool {
 	for _, p := range r.peers {
 		if p.Anchored && now.Sub(p.LastBeat) <= r.interval.Suspect() {
@@ -172,26 +172,27 @@
 	return false
 }
 
-// Lost lists silent routers that may have sent keys without the log, as far as this router knows:
-// those not known to be dead within outageAfter of the last time they had the log.
+// Lost lists the silent routers that may have sent keys without the log: those not known to have
+// died within outageAfter of their last contact with the log.
 func (r *Routers) Lost(now time.Time, outageAfter, lifetime time.Duration) []Lost {
 	var out []Lost
 	for inc, p := range r.peers {
-		silent := now.Sub(p.LastBeat) > r.interval.Suspect() || p.hearsay
-		clean := p.Retired || (!p.gone.IsZero() && p.gone.Sub(p.Fresh) < outageAfter)
-		if !silent || clean || now.Sub(p.LastBeat) > lifetime {
+		silent := now.Sub(p.LastBeat) > r.interval.Suspect() || p.gossipOnly
+		resolved := p.Retired || (!p.deadSince.IsZero() && p.deadSince.Sub(p.Fresh) < outageAfter)
+		if !silent || resolved || now.Sub(p.LastBeat) > lifetime {
 			continue
 		}
 		l := Lost{Incarnation: inc, Fresh: now.Sub(p.Fresh)}
-		if !p.gone.IsZero() {
-			l.Gone = max(now.Sub(p.gone), 1)
+		if !p.deadSince.IsZero() {
+			l.Gone = max(now.Sub(p.deadSince), 1)
 		}
 		out = append(out, l)
 	}
 	return out
 }
 
-// Expire forgets routers that have been silent for longer than any key lives, and returns their runs.
+// Expire removes routers that have been silent for longer than the lifetime of any key, plus
+// ForgetAfter. It returns their incarnations.
 func (r *Routers) Expire(now time.Time, lifetime time.Duration) []string {
 	var gone []string
 	for inc, p := range r.peers {
--- a/services/membership/table.go
+++ b/services/membership/table.go
@@ -14,44 +14,46 @@
 	"fawnwinch.org/fawnwinch/services/once"
 )
 
-// Entry is what a router knows about one upstream.
+// Entry is a router's view of one upstream.
 type Entry struct {
 	Beat Beat
-	// LastBeat is the time of the latest heartbeat that proved freshness.
+	// LastBeat is the time of the latest heartbeat or gossip that proved the agent alive.
 	LastBeat time.Time
-	// LoadAt is the time the load holds for.
+	// LoadAt is the time at which the load was reported.
 	LoadAt time.Time
-	// Suspect says that the agent is silent or has not yet proved freshness.
+	// Suspect reports whether the agent is silent, unreachable or not yet proved alive.
 	Suspect bool
-	// Leaving says that someone announced the end of the upstream.
+	// Leaving reports whether the agent, the platform's list or another router announced that the
+	// upstream is leaving.
 	Leaving bool
 }
 
 type record struct {
 	beat Beat
-	// print is the fingerprint of beat.
-	print    uint64
-	first    time.Time
-	lastBeat time.Time
-	// proved is the latest time at which the agent proved to this router that it was awake.
-	proved time.Time
-	// loadAt is the time the load holds for.
+	// fingerprint is the fingerprint of beat.
+	fingerprint uint64
+	firstSeen   time.Time
+	lastBeat    time.Time
+	// provedAt is the latest time at which the agent proved to this router that it was alive.
+	provedAt time.Time
+	// loadAt is the time at which the load was reported.
 	loadAt time.Time
-	// gone is the latest time at which the agent could not be reached.
-	gone time.Time
-	// nonces holds the latest nonces given out, newest last.
+	// unreachableAt is the latest time at which the agent was found unreachable.
+	unreachableAt time.Time
+	// nonces holds the latest nonces sent to the agent, newest last.
 	nonces []nonce
-	// leaving is the time at which the end of this incarnation was first announced, or zero.
-	leaving time.Time
+	// leavingSince is the time at which this incarnation first announced that it is leaving, or zero.
+	leavingSince time.Time
 }
 
-// nonce is a number that an awake agent echoes.
+// nonce is a number that the agent echoes in its next heartbeat as proof of liveness.
 type nonce struct {
 	value uint64
 	at    time.Time
 }
 
-// keptNonces is the number of nonces that may still be echoed: replies can get lost.
+// keptNonces is the number of recent nonces that are accepted as an echo, since replies can get
+// lost.
 const keptNonces = 4
 
 // Table is a router's view of the agents. It does no I/O and reads no clock.
@@ -60,40 +62,42 @@
 
 	agents map[upstream.ID]*record
 	vms    map[string]vm.State
-	// told holds upstreams that other routers know to be leaving, until their time.
-	told map[upstream.ID]time.Time
-	// heard holds, for each other router's run, the agents it has told of and not called silent.
-	heard  map[string]map[upstream.ID]upstream.Incarnation
-	nonces uint64
+	// reportedLeaving maps each upstream that other routers report as leaving to the expiry of that
+	// report.
+	reportedLeaving map[upstream.ID]time.Time
+	// reportedBy maps each incarnation of another router to the agents that it has reported and not
+	// listed as silent since.
+	reportedBy map[string]map[upstream.ID]upstream.Incarnation
+	nonces     uint64
 }
 
-// toldFor is how long a word of another router about a leaving upstream holds.
-const toldFor = 5 * time.Second
+// leavingReportTTL is how long another router's report of a leaving upstream is valid.
+const leavingReportTTL = 5 * time.Second
 
 // NewTable returns an empty table.
 func NewTable(i Interval) *Table {
-	return &Table{interval: i, agents: map[upstream.ID]*record{}, vms: map[string]vm.State{}, told: map[upstream.ID]time.Time{}, heard: map[string]map[upstream.ID]upstream.Incarnation{}}
+	return &Table{interval: i, agents: map[upstream.ID]*record{}, vms: map[string]vm.State{}, reportedLeaving: map[upstream.ID]time.Time{}, reportedBy: map[string]map[upstream.ID]upstream.Incarnation{}}
 }
 
-// Beat takes in a heartbeat and returns the nonce that the next one must echo.
-// A heartbeat of an earlier incarnation is not taken while a later one is alive.
+// Beat applies a heartbeat and returns the nonce that the next one must echo. A heartbeat of an
+// earlier incarnation is ignored while a later one is alive.
 func (t *Table) Beat(now time.Time, b Beat) uint64 {
 	r, ok := t.agents[b.Upstream]
 	if ok && b.Incarnation < r.beat.Incarnation && now.Sub(r.lastBeat) < t.interval.Suspect() {
 		return 0
 	}
 	if !ok || r.beat.Incarnation != b.Incarnation {
-		r = &record{first: now}
+		r = &record{firstSeen: now}
 		t.agents[b.Upstream] = r
 	}
 	if r.proves(now, b.Echo, t.interval) {
-		r.lastBeat, r.proved = now, now
+		r.lastBeat, r.provedAt = now, now
 	}
 	if b.Brief {
 		b = r.complete(b)
 	}
 	if b.Seq >= r.beat.Seq {
-		r.take(now, b)
+		r.store(now, b)
 		r.loadAt = now
 	}
 	t.nonces++
@@ -102,7 +106,7 @@
 	return t.nonces
 }
 
-// complete fills a brief heartbeat up with what the latest full one said.
+// complete fills in the fields that a brief heartbeat omits, from the latest full one.
 func (r *record) complete(b Beat) Beat {
 	full := r.beat
 	full.Upstream, full.Incarnation, full.Service = b.Upstream, b.Incarnation, b.Service
@@ -116,28 +120,28 @@
 	if !ok || r.beat.RPC == "" {
 		return 0
 	}
-	return r.print
+	return r.fingerprint
 }
 
-// take keeps what an agent says of itself.
-func (r *record) take(now time.Time, b Beat) {
-	r.beat, r.print = b, b.Fingerprint()
+// store stores an agent's heartbeat.
+func (r *record) store(now time.Time, b Beat) {
+	r.beat, r.fingerprint = b, b.Fingerprint()
 	switch {
 	case b.State != upstream.StateLeaving:
-		r.leaving = time.Time{}
-	case r.leaving.IsZero():
-		r.leaving = now
+		r.leavingSince = time.Time{}
+	case r.leavingSince.IsZero():
+		r.leavingSince = now
 	}
 }
 
-// proves reports whether an echo shows that the agent was awake a moment ago.
+// proves reports whether an echo matches a recent nonce, which shows that the agent is alive.
 func (r *record) proves(now time.Time, echo uint64, i Interval) bool {
 	return slices.ContainsFunc(r.nonces, func(n nonce) bool {
 		return n.value == echo && now.Sub(n.at) < i.Suspect()
 	})
 }
 
-// VMs takes in the platform's list.
+// VMs applies the platform's list.
 func (t *Table) VMs(list []vm.VM) {
 	t.vms = make(map[string]vm.State, len(list))
 	for _, v := range list {
@@ -145,40 +149,42 @@
 	}
 }
 
-// Told takes in another router's word about leaving upstreams.
+// Told applies another router's report of leaving upstreams.
 func (t *Table) Told(now time.Time, ids []upstream.ID) {
 	for _, id := range ids {
-		t.told[id] = now.Add(toldFor)
+		t.reportedLeaving[id] = now.Add(leavingReportTTL)
 	}
 }
 
-// Gone notes that the agent of an upstream cannot be reached: it is suspect until its next proof.
+// Gone records that the agent of an upstream is unreachable. It is suspect until its next proof of
+// liveness.
 func (t *Table) Gone(now time.Time, id upstream.ID, inc upstream.Incarnation) {
 	if r, ok := t.agents[id]; ok && r.beat.Incarnation == inc {
-		r.gone = now
+		r.unreachableAt = now
 	}
 }
 
-// Entry returns what is known about an upstream.
+// Entry returns this router's view of an upstream.
 func (t *Table) Entry(now time.Time, id upstream.ID) (Entry, bool) {
 	r, ok := t.agents[id]
 	if !ok {
 		return Entry{}, false
 	}
 	e := Entry{Beat: r.beat, LastBeat: r.lastBeat, LoadAt: r.loadAt}
-	e.Suspect = !r.lastBeat.After(r.gone) || now.Sub(r.lastBeat) > t.interval.Suspect()
-	e.Leaving = !r.leaving.IsZero() || t.vms[r.beat.RPC] == vm.StateLeaving || now.Before(t.told[id])
+	e.Suspect = !r.lastBeat.After(r.unreachableAt) || now.Sub(r.lastBeat) > t.interval.Suspect()
+	e.Leaving = !r.leavingSince.IsZero() || t.vms[r.beat.RPC] == vm.StateLeaving || now.Before(t.reportedLeaving[id])
 	return e, true
 }
 
-// Leave reports whether the platform's list takes the VM of an agent away.
+// Leave reports whether the platform's list marks the VM of an agent as leaving.
 func (t *Table) Leave(rpc string) bool { return t.vms[rpc] == vm.StateLeaving }
 
-// LeavingHere returns the upstreams whose end this router heard of at first hand.
+// LeavingHere returns the upstreams that are leaving by their own report or by the platform's list,
+// without those reported by other routers.
 func (t *Table) LeavingHere() []upstream.ID {
 	var ids []upstream.ID
 	for id, r := range t.agents {
-		if !r.leaving.IsZero() || t.vms[r.beat.RPC] == vm.StateLeaving {
+		if !r.leavingSince.IsZero() || t.vms[r.beat.RPC] == vm.StateLeaving {
 			ids = append(ids, id)
 		}
 	}
@@ -212,7 +218,7 @@
 	return out
 }
 
-// Owner returns the upstream that holds the highest epoch of a slice among those that beat.
+// Owner returns the upstream that reports the highest epoch of a slice.
 func (t *Table) Owner(now time.Time, s service.ID, sl request.Slice) (Entry, once.Epoch, bool) {
 	var best Entry
 	var high once.Epoch
@@ -237,19 +243,20 @@
 	return out
 }
 
-// ForgetRouter drops what a run of a router has told.
-func (t *Table) ForgetRouter(incarnation string) { delete(t.heard, incarnation) }
+// ForgetRouter drops the gossip of an incarnation of a router.
+func (t *Table) ForgetRouter(incarnation string) { delete(t.reportedBy, incarnation) }
 
-// Expire forgets agents that have been silent for long.
+// Expire removes agents that have been silent for longer than ForgetAfter, and expired reports of
+// leaving upstreams.
 func (t *Table) Expire(now time.Time) {
 	for id, r := range t.agents {
-		if now.Sub(r.lastBeat) > ForgetAfter && now.Sub(r.first) > ForgetAfter {
+		if now.Sub(r.lastBeat) > ForgetAfter && now.Sub(r.firstSeen) > ForgetAfter {
 			delete(t.agents, id)
 		}
 	}
-	for id, until := range t.told {
+	for id, until := range t.reportedLeaving {
 		if !now.Before(until) {
-			delete(t.told, id)
+			delete(t.reportedLeaving, id)
 		}
 	}
 }
--- a/services/membership/table_test.go
+++ b/services/membership/table_test.go
@@ -15,7 +15,7 @@
 
 const testInterval = Interval(400 * time.Millisecond)
 
-// TestTable follows one agent through what may happen to it.
+// TestTable checks whether an agent counts as suspect or leaving after each kind of event.
 func TestTable(t *testing.T) {
 	const id = upstream.ID("u")
 	beat := func(inc string, state upstream.State, echo uint64) Beat {
@@ -33,7 +33,7 @@
 		"one beat proves nothing": {func(tb *Table) { tb.Beat(start, beat("b", upstream.StateReady, 0)) }, 0, true, false},
 		"an echo proves":          {func(tb *Table) { live(tb) }, 0, false, false},
 		"silence":                 {func(tb *Table) { live(tb) }, testInterval.Suspect() + 1, true, false},
-		"an old echo of a frozen agent": {func(tb *Table) {
+		"an old echo of a suspended agent": {func(tb *Table) {
 			n := live(tb)
 			tb.Beat(start.Add(time.Minute), beat("b", upstream.StateReady, n))
 		}, time.Minute, true, false},
@@ -51,7 +51,7 @@
 			tb.Beat(start, beat("c", upstream.StateReady, 0))
 		}, 0, true, false},
 		"unreachable": {func(tb *Table) { live(tb); tb.Gone(start, id, "b") }, 0, true, false},
-		"leaving by itself": {func(tb *Table) {
+		"leaving by its own report": {func(tb *Table) {
 			tb.Beat(start, beat("b", upstream.StateLeaving, live(tb)))
 		}, 0, false, true},
 		"leaving and back": {func(tb *Table) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestLost checks which dead routers leave their keys in doubt.
+// TestLost checks which silent routers may have sent keys without the log.
 func TestLost(t *testing.T) {
 	const outage = 5 * time.Second
 	other := RouterInfo{ID: "r", Incarnation: "x", RPC: "10.0.0.2:1"}
@@ -86,16 +86,16 @@
 		at   time.Duration
 		lost bool
 	}{
-		"alive":                          {func(*Routers) {}, time.Second, false},
-		"silent, fate unknown":           {func(r *Routers) { r.VMs(start, listed) }, time.Minute, true},
-		"gone soon after it had the log": {func(r *Routers) { r.VMs(start.Add(3*time.Second), nil) }, time.Minute, false},
-		"gone too late to tell":          {func(r *Routers) { r.VMs(start.Add(30*time.Second), nil) }, time.Minute, true},
+		"alive":                            {func(*Routers) {}, time.Second, false},
+		"silent, fate unknown":             {func(r *Routers) { r.VMs(start, listed) }, time.Minute, true},
+		"gone soon after it had the log":   {func(r *Routers) { r.VMs(start.Add(3*time.Second), nil) }, time.Minute, false},
+		"gone long after its last contact": {func(r *Routers) { r.VMs(start.Add(30*time.Second), nil) }, time.Minute, true},
 		"replaced at once": {func(r *Routers) {
 			r.Beat(start.Add(2*time.Second), RouterBeat{Info: RouterInfo{ID: "r", Incarnation: "y", RPC: other.RPC}})
 		}, 3 * time.Second, false},
 		"retired":                 {func(r *Routers) { r.Beat(start, RouterBeat{Info: other, Retired: true}) }, time.Minute, false},
 		"forgotten with its keys": {func(*Routers) {}, 2 * time.Hour, false},
-		"known by hearsay": {func(r *Routers) {
+		"known only by gossip": {func(r *Routers) {
 			r.Beat(start, RouterBeat{Info: RouterInfo{Incarnation: "z", RPC: "10.0.0.3:1"}, Lost: []Lost{{Incarnation: "w", Fresh: time.Minute}}})
 			r.Beat(start, RouterBeat{Info: other, Retired: true})
 			r.VMs(start.Add(2*time.Second), nil)
