--- a/services/watch/watch.go
+++ b/services/watch/watch.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package watch decides when a router reads a feed of the platform's store. Calls of the store are paid
-// for, so one router reads each feed and tells the others; a router that hears nothing reads by itself
-// before what it knows is too old.
+// Package watch decides when a router reads a feed of the platform's store. Store calls cost money,
+// so one router reads each feed and passes the updates on to the others. A router that receives
+// nothing reads the feed itself before its state is too old.
 package watch
 
 import (
@@ -13,69 +13,79 @@
 )
 
 const (
-	// waitPart is the part of the time in which news must be in force that a read waits for news. What the
-	// others know is as old as two reads at most, one that has ended and one under way, and a greeting.
-	waitPart = 0.25
-	// ownPart is the part of that time after which a router reads by itself. What is left is for the read.
-	ownPart = 0.75
-	// firstPause is the pause after a read that failed, and longestPause the one that it doubles up to.
-	// The first router that reaches the store again tells all others, so nobody loses by a long pause.
-	firstPause   = 150 * time.Millisecond
-	longestPause = 1200 * time.Millisecond
+	// waitFraction is the fraction of the propagation limit (see NewTimes) that a read waits for
+	// updates. The state of the other routers is at most as old as two reads, one finished and one in
+	// progress, and a gossip exchange.
+	waitFraction = 0.25
+	// ownReadFraction is the fraction of the same limit after which a router reads the feed itself.
+	// The rest of the limit is left for that read.
+	ownReadFraction = 0.75
+	// minBackoff is the back-off after the first failed read; it doubles with each failure, up to
+	// maxBackoff. The first router that reaches the store again notifies all others, so a long
+	// back-off delays no router.
+	minBackoff = 150 * time.Millisecond
+	maxBackoff = 1200 * time.Millisecond
 )
 
-// Times holds how a feed is read.
+// Times holds the timing of a feed's reads.
 type Times struct {
-	// Wait is how long a read waits for news.
+	// Wait is how long a read waits for updates.
 	Wait time.Duration
-	// Own is the age of the knowledge from which a router reads although another one should.
+	// Own is the age of the state from which a router reads the feed itself although another router is
+	// its reader.
 	Own time.Duration
 }
 
-// NewTimes returns the times for a feed whose news must be in force everywhere within a time.
+// NewTimes returns the times for a feed whose updates must be in force at all routers within a
+// time.
 func NewTimes(within time.Duration) Times {
-	return Times{Wait: time.Duration(waitPart * float64(within)), Own: time.Duration(ownPart * float64(within))}
+	return Times{Wait: time.Duration(waitFraction * float64(within)), Own: time.Duration(ownReadFraction * float64(within))}
 }
 
-// Reader returns the router that reads a feed, given those that are alive and reach the store; "" if
-// there are none. Routers that know the same others choose the same one; each feed has its own.
+// Reader returns the router that reads a feed, given the routers that are alive and reach the
+// store, or "" if there are none. Routers with the same list choose the same reader (rendezvous
+// hashing); feeds are spread over the routers.
 func Reader(feed string, routers []string) string {
 	var best string
-	var most uint64
+	var maxScore uint64
 	for _, name := range routers {
 		score := xxhash.Sum64String(feed + "/" + name)
-		if best == "" || score > most || (score == most && name < best) {
-			best, most = name, score
+		if best == "" || score > maxScore || (score == maxScore && name < best) {
+			best, maxScore = name, score
 		}
 	}
 	return best
 }
 
-// Reading is what a router knows of a feed and of its own reads.
+// Reading is a router's state of a feed and of its own reads of it.
 type Reading struct {
-	// Known says that the feed was read or told of since the start.
+	// Known reports whether the feed was read or received since the start.
 	Known bool
-	// AsOf is when the knowledge was last known to be the newest.
+	// AsOf is the latest time at which the state was known to be current.
 	AsOf time.Time
-	// Mine says that this router reads the feed for the others.
+	// Mine reports whether this router is the reader of the feed.
 	Mine bool
-	// Behind says that other routers have known more for a while.
+	// Behind reports whether other routers have had a newer state for some time.
 	Behind bool
-	// Anew is the time up to which others may tell the feed that the store has begun anew, which is to be read whole otherwise.
+	// Anew is the time until which this router waits to receive from others a feed that the store has
+	// restarted. After that it has to read the full snapshot itself.
 	Anew time.Time
-	// Patient is the time up to which a router that has just started waits to be told by others.
+	// Patient is the time until which a router that has just started waits to receive the feed from
+	// others.
 	Patient time.Time
-	// Failures counts the reads that failed since the last that did not, and Tried is the end of the latest.
+	// Failures counts the failed reads since the last successful one. Tried is the end of the latest
+	// read.
 	Failures int
 	Tried    time.Time
 }
 
-// Next returns when the router reads the feed next. A router whose reads fail goes on trying, also while
-// others tell it what is new: it has to know when it reaches the store again.
+// Next returns the time of the router's next read of the feed. A router whose reads fail keeps
+// retrying even while it receives updates from others, so that it learns when the store is
+// reachable again.
 func (t Times) Next(now time.Time, r Reading) time.Time {
 	switch {
 	case r.Failures > 0:
-		return r.Tried.Add(pause(r.Failures))
+		return r.Tried.Add(backoff(r.Failures))
 	case now.Before(r.Patient) && !r.Known:
 		return r.Patient
 	case !r.Known, r.Mine, r.Behind:
@@ -87,10 +97,10 @@
 	}
 }
 
-func pause(failures int) time.Duration {
-	p := firstPause
-	for ; failures > 1 && p < longestPause; failures-- {
+func backoff(failures int) time.Duration {
+	p := minBackoff
+	for ; failures > 1 && p < maxBackoff; failures-- {
 		p *= 2
 	}
-	return min(p, longestPause)
+	return min(p, maxBackoff)
 }
--- a/services/watch/watch_test.go
+++ b/services/watch/watch_test.go
@@ -12,7 +12,7 @@
 
 var begin = time.Unix(1000, 0)
 
-// TestNext checks when a router reads by itself.
+// TestNext checks when a router reads a feed.
 func TestNext(t *testing.T) {
 	times := NewTimes(2 * time.Second)
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
@@ -21,22 +21,22 @@
 		now     time.Time
 		want    time.Time
 	}{
-		"nothing known yet":                   {Reading{}, at(0), at(0)},
-		"the reader goes on at once":          {Reading{Known: true, AsOf: at(0), Mine: true}, at(10), at(10)},
-		"others wait for it":                  {Reading{Known: true, AsOf: at(0)}, at(10), at(1500)},
-		"and read when it says nothing":       {Reading{Known: true, AsOf: at(0)}, at(1600), at(1500)},
-		"or when they have missed something":  {Reading{Known: true, AsOf: at(0), Behind: true}, at(10), at(10)},
-		"a feed that is begun anew":           {Reading{Known: true, AsOf: at(0), Anew: at(2200)}, at(1700), at(2200)},
-		"is read by its reader":               {Reading{Known: true, AsOf: at(0), Anew: at(2200), Mine: true}, at(1700), at(1700)},
-		"or when nobody has told it":          {Reading{Known: true, AsOf: at(0), Anew: at(2200), Behind: true}, at(2200), at(2200)},
-		"a start reads at once":               {Reading{}, at(10), at(10)},
-		"unless others may tell it":           {Reading{Mine: true, Patient: at(400)}, at(10), at(400)},
-		"for a while":                         {Reading{Patient: at(400)}, at(410), at(410)},
-		"after a failure there is a pause":    {Reading{Known: true, AsOf: at(0), Mine: true, Failures: 1, Tried: at(500)}, at(500), at(650)},
-		"which grows":                         {Reading{Known: true, AsOf: at(0), Failures: 3, Tried: at(500)}, at(500), at(1100)},
-		"up to a bound":                       {Reading{Failures: 90, Tried: at(500)}, at(500), at(1700)},
-		"also while others tell what is new":  {Reading{Known: true, AsOf: at(900), Failures: 2, Tried: at(500)}, at(900), at(800)},
-		"and before anything at all is known": {Reading{Failures: 1, Tried: at(500)}, at(500), at(650)},
+		"no state yet":                        {Reading{}, at(0), at(0)},
+		"the reader reads again at once":      {Reading{Known: true, AsOf: at(0), Mine: true}, at(10), at(10)},
+		"others wait for the reader":          {Reading{Known: true, AsOf: at(0)}, at(10), at(1500)},
+		"others read if the reader is silent": {Reading{Known: true, AsOf: at(0)}, at(1600), at(1500)},
+		"others read if they are behind":      {Reading{Known: true, AsOf: at(0), Behind: true}, at(10), at(10)},
+		"restarted feed, others wait":         {Reading{Known: true, AsOf: at(0), Anew: at(2200)}, at(1700), at(2200)},
+		"restarted feed, reader reads":        {Reading{Known: true, AsOf: at(0), Anew: at(2200), Mine: true}, at(1700), at(1700)},
+		"restarted feed, not received":        {Reading{Known: true, AsOf: at(0), Anew: at(2200), Behind: true}, at(2200), at(2200)},
+		"first read at once":                  {Reading{}, at(10), at(10)},
+		"start waits for others":              {Reading{Mine: true, Patient: at(400)}, at(10), at(400)},
+		"start waits no longer":               {Reading{Patient: at(400)}, at(410), at(410)},
+		"back-off after a failure":            {Reading{Known: true, AsOf: at(0), Mine: true, Failures: 1, Tried: at(500)}, at(500), at(650)},
+		"back-off grows":                      {Reading{Known: true, AsOf: at(0), Failures: 3, Tried: at(500)}, at(500), at(1100)},
+		"back-off is bounded":                 {Reading{Failures: 90, Tried: at(500)}, at(500), at(1700)},
+		"back-off while others send updates":  {Reading{Known: true, AsOf: at(900), Failures: 2, Tried: at(500)}, at(900), at(800)},
+		"back-off without any state":          {Reading{Failures: 1, Tried: at(500)}, at(500), at(650)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -47,7 +47,8 @@
 	}
 }
 
-// TestTimes checks that two reads in a row leave others no reason to read, and that an own read comes in time.
+// TestTimes checks that two consecutive reads of the reader end before others read the feed
+// themselves, and that such a read starts within the limit.
 func TestTimes(t *testing.T) {
 	for _, within := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 10 * time.Second} {
 		times := NewTimes(within)
@@ -57,11 +58,11 @@
 	}
 }
 
-// TestReader checks that all choose the same router, that only its loss changes the choice, and that the
-// feeds are spread.
+// TestReader checks that all routers choose the same reader, that only the loss of the reader
+// changes the choice, and that the feeds are spread over the routers.
 func TestReader(t *testing.T) {
 	if got := Reader("catalog", nil); got != "" {
-		t.Errorf("reader %q among none", got)
+		t.Errorf("reader %q of an empty list", got)
 	}
 	var routers []string
 	for i := range 40 {
