--- a/services/platform/platform.go
+++ b/services/platform/platform.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package platform reaches the platform's log, VM list and weight store over HTTP.
+// Package platform is the HTTP client of the platform's log, VM list and weight store.
 package platform
 
 import (
@@ -21,8 +21,8 @@
 	"fawnwinch.org/fawnwinch/services"
 )
 
-// maxPage bounds one answer of the platform, in bytes.
-const maxPage = 64 << 20
+// maxResponse is the size limit of one response of the platform, in bytes.
+const maxResponse = 64 << 20
 
 // dialTimeout bounds a connection attempt.
 const dialTimeout = time.Second
@@ -47,24 +47,25 @@
 // Close drops idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-type appended struct {
+type appendResponse struct {
 	Offset services.Offset `json:"offset"`
 }
 
-// Append adds a record to a stream. A services.ErrNotSent or services.ErrRefused means that it was not added.
+// Append appends a record to a stream. A services.ErrNotSent or services.ErrRefused means that the
+// record was not appended.
 func (c *Client) Append(ctx context.Context, s services.Stream, data []byte) (services.Offset, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/streams/"+url.PathEscape(string(s))+"/records", bytes.NewReader(data))
 	if err != nil {
 		return 0, fmt.Errorf("append to %s: %w", s, err)
 	}
-	var out appended
-	if err := httpx.Do(c.http, req, maxPage, &out); err != nil {
-		return 0, classify(s, err)
+	var out appendResponse
+	if err := httpx.Do(c.http, req, maxResponse, &out); err != nil {
+		return 0, classifyAppendError(s, err)
 	}
 	return out.Offset, nil
 }
 
-func classify(s services.Stream, err error) error {
+func classifyAppendError(s services.Stream, err error) error {
 	var status httpx.ErrStatus
 	if errors.As(err, &status) && status.Status == http.StatusTooManyRequests {
 		return services.ErrNotSent{Err: fmt.Errorf("append to %s: %w", s, err)}
@@ -83,32 +84,32 @@
 		return services.Page{}, fmt.Errorf("read %s: %w", s, err)
 	}
 	var p services.Page
-	if err := httpx.Do(c.http, req, maxPage, &p); err != nil {
+	if err := httpx.Do(c.http, req, maxResponse, &p); err != nil {
 		return services.Page{}, fmt.Errorf("read %s: %w", s, err)
 	}
 	return p, nil
 }
 
-// VMs returns the platform's list.
+// VMs returns the platform's VM list.
 func (c *Client) VMs(ctx context.Context) ([]vm.VM, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/v1/vms", nil)
 	if err != nil {
 		return nil, fmt.Errorf("list vms: %w", err)
 	}
 	var list []vm.VM
-	if err := httpx.Do(c.http, req, maxPage, &list); err != nil {
+	if err := httpx.Do(c.http, req, maxResponse, &list); err != nil {
 		return nil, fmt.Errorf("list vms: %w", err)
 	}
 	return list, nil
 }
 
-// FetchRequest asks the weight store to bring weights to an upstream.
+// FetchRequest asks the weight store to transfer weights to an upstream.
 type FetchRequest struct {
 	Upstream upstream.ID `json:"upstream"`
 	Bytes    int64       `json:"bytes"`
 }
 
-// Fetch returns when the weights are at the upstream.
+// Fetch transfers weights to an upstream and returns when the transfer is complete.
 func (c *Client) Fetch(ctx context.Context, u upstream.ID, n int64) error {
 	raw, err := json.Marshal(FetchRequest{Upstream: u, Bytes: n})
 	if err != nil {
@@ -118,7 +119,7 @@
 	if err != nil {
 		return fmt.Errorf("fetch weights: %w", err)
 	}
-	if err := httpx.Do(c.http, req, maxPage, nil); err != nil {
+	if err := httpx.Do(c.http, req, maxResponse, nil); err != nil {
 		return fmt.Errorf("fetch %d bytes of weights for %s: %w", n, u, err)
 	}
 	return nil
