--- a/services/engine/engine.go
+++ b/services/engine/engine.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package engine reaches one rank of a model engine over HTTP.
+// Package engine is the HTTP client of one rank of a model engine.
 package engine
 
 import (
@@ -20,8 +20,8 @@
 
 const (
 	dialTimeout = time.Second
-	// maxAnswer bounds one answer, in bytes.
-	maxAnswer = 64 << 20
+	// maxResponse is the size limit of one response, in bytes.
+	maxResponse = 64 << 20
 )
 
 // Client implements services.Engine.
@@ -45,13 +45,13 @@
 	if err != nil {
 		return fmt.Errorf("engine %s: %w", path, err)
 	}
-	if err := httpx.Do(c.http, req, maxAnswer, v); err != nil {
+	if err := httpx.Do(c.http, req, maxResponse, v); err != nil {
 		return fmt.Errorf("engine %s: %w", path, err)
 	}
 	return nil
 }
 
-// State returns what the rank tells about itself.
+// State returns the state that the rank reports.
 func (c *Client) State(ctx context.Context) (services.EngineState, error) {
 	var s services.EngineState
 	err := c.get(ctx, "/engine/state", &s)
@@ -65,14 +65,15 @@
 	return &m, err
 }
 
-// Popularity returns how many tokens each expert of each layer has had since the engine started.
+// Popularity returns the number of tokens routed to each expert, by layer, since the engine
+// started.
 func (c *Client) Popularity(ctx context.Context) ([][]float64, error) {
 	var p [][]float64
 	err := c.get(ctx, "/engine/experts", &p)
 	return p, err
 }
 
-// Order gives the rank an order. A services.ErrRefused means that it was not carried out.
+// Order sends an order to the rank. A services.ErrRefused means that the order was not executed.
 func (c *Client) Order(ctx context.Context, o services.Order) error {
 	raw, err := json.Marshal(o)
 	if err != nil {
@@ -82,7 +83,7 @@
 	if err != nil {
 		return fmt.Errorf("order %s: %w", o.Kind, err)
 	}
-	err = httpx.Do(c.http, req, maxAnswer, nil)
+	err = httpx.Do(c.http, req, maxResponse, nil)
 	var status httpx.ErrStatus
 	if errors.As(err, &status) && status.Status == http.StatusConflict {
 		return services.ErrRefused{Reason: status.Body}
