--- a/services/directory/beat.go
+++ b/services/directory/beat.go
@@ -23,8 +23,8 @@
 // callTimeout bounds a control call to another process.
 const callTimeout = time.Second
 
-// beat tells every other router about this one and takes in the replies.
-func (d *Directory) beat(ctx context.Context) {
+// sendBeats sends a heartbeat to every other router and applies the replies.
+func (d *Directory) sendBeats(ctx context.Context) {
 	now := clock.Now()
 	d.mu.Lock()
 	addresses := d.routers.Addresses(now)
@@ -33,12 +33,12 @@
 	d.mu.Unlock()
 	var w sync.WaitGroup
 	for _, a := range addresses {
-		w.Go(func() { d.beatOne(ctx, a, b) })
+		w.Go(func() { d.sendBeat(ctx, a, b) })
 	}
 	w.Wait()
 }
 
-// routerBeat makes this router's heartbeat. The caller holds the lock.
+// routerBeat builds this router's heartbeat. The caller holds the lock.
 func (d *Directory) routerBeat(now time.Time) membership.RouterBeat {
 	peer := d.opts.Follower.Peer()
 	contact := d.opts.Follower.Contact()
@@ -50,17 +50,17 @@
 	return membership.RouterBeat{
 		Info: self, Revision: peer.State.Revision, Anchored: peer.Anchored, LogAge: age,
 		Retired: self.State == membership.RouterLeaving && d.register.Empty(now),
-		Leaving: d.table.LeavingHere(), Lost: d.routers.Lost(now, minOutage, d.opts.Retention),
+		Leaving: d.table.LeavingHere(), Lost: d.routers.Lost(now, minConfirmedOutage, d.opts.Retention),
 		Stamp: d.opts.Ring.Clock.Now(now),
 	}
 }
 
-func (d *Directory) beatOne(ctx context.Context, address string, b membership.RouterBeat) {
+func (d *Directory) sendBeat(ctx context.Context, address string, b membership.RouterBeat) {
 	cctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	d.mu.Lock()
 	b.Agents = d.outbox.For(clock.Now(), address, d.table)
-	b.Known = d.listOf(address, clock.Now())
+	b.Known = d.knownListOf(address, clock.Now())
 	d.mu.Unlock()
 	var r membership.RouterReply
 	if err := d.opts.Pool.Call(cctx, address, "Router.RouterBeat", b, &r); err != nil {
@@ -76,7 +76,7 @@
 		d.outbox.Forget(address)
 	}
 	if len(r.Routers) > 0 {
-		d.listsOf[address] = routerList{fingerprint: r.Lists, at: now}
+		d.peerLists[address] = routerList{fingerprint: r.Lists, at: now}
 	}
 	d.routers.Hint(now, r.Routers)
 	d.routers.Beat(now, membership.RouterBeat{Info: r.Info, Revision: r.Revision, Anchored: r.Anchored, LogAge: r.LogAge})
@@ -91,19 +91,21 @@
 	}
 }
 
-// routerList is the latest list of routers that another one has sent.
+// routerList identifies the latest list of routers received from a peer.
 type routerList struct {
 	fingerprint uint64
 	at          time.Time
 }
 
-// listEvery is the time after which a list of routers is asked for again: addresses heard of age.
-const listEvery = 4 * time.Second
+// peerListMaxAge is the time after which a list of routers is requested again, because learned
+// addresses expire.
+const peerListMaxAge = 4 * time.Second
 
-// listOf returns the fingerprint of the list a router need not send again, or 0. The caller holds the lock.
-func (d *Directory) listOf(address string, now time.Time) uint64 {
-	l := d.listsOf[address]
-	if now.Sub(l.at) > listEvery {
+// knownListOf returns the fingerprint of the list that a router need not send again, or 0. The
+// caller holds the lock.
+func (d *Directory) knownListOf(address string, now time.Time) uint64 {
+	l := d.peerLists[address]
+	if now.Sub(l.at) > peerListMaxAge {
 		return 0
 	}
 	return l.fingerprint
@@ -134,16 +136,16 @@
 	d.floorsKnown = true
 }
 
-// Nothing is the argument of calls that need none.
+// Nothing is the argument of calls without parameters.
 type Nothing struct{ Unused bool }
 
-// API is what a router offers to other processes over rpc.
+// API is the rpc interface of a router.
 type API struct{ d *Directory }
 
 // NewAPI returns the rpc interface of a directory.
 func NewAPI(d *Directory) *API { return &API{d: d} }
 
-// Beat takes in an agent's heartbeat.
+// Beat applies an agent's heartbeat.
 func (a *API) Beat(b membership.Beat, r *membership.Reply) error {
 	*r = a.d.agentBeat(clock.Now(), b)
 	return nil
@@ -158,7 +160,7 @@
 	for sl, e := range b.Owned {
 		d.register.Raise(once.SliceKey{Service: b.Service, Slice: sl}, e)
 	}
-	d.tracker.Report(b.Upstream, reportOf(now, b.Load))
+	d.tracker.Report(b.Upstream, loadReport(now, b.Load))
 	closed := false
 	if s := state.Intent.Service(b.Service); s != nil {
 		for _, u := range s.Closed {
@@ -177,37 +179,37 @@
 	return reply
 }
 
-// lists is what the agents of one service are told about the processes around them.
-type lists struct {
+// agentLists is the cluster view that is sent to the agents of one service.
+type agentLists struct {
 	at          time.Time
 	fingerprint uint64
 	routers     []membership.RouterInfo
 	members     []membership.MemberInfo
 }
 
-// listsFor returns the lists for a service. They are made at most once in listsAge, not once a
-// heartbeat. The caller holds the lock.
-func (d *Directory) listsFor(now time.Time, s service.ID) *lists {
-	if l, ok := d.lists[s]; ok && now.Sub(l.at) < listsAge {
+// listsFor returns the lists for a service. They are built at most once per agentListsMaxAge, not
+// for every heartbeat. The caller holds the lock.
+func (d *Directory) listsFor(now time.Time, s service.ID) *agentLists {
+	if l, ok := d.lists[s]; ok && now.Sub(l.at) < agentListsMaxAge {
 		return l
 	}
-	l := &lists{at: now, routers: d.routers.Live(now), members: d.table.Members(now, s)}
+	l := &agentLists{at: now, routers: d.routers.Live(now), members: d.table.Members(now, s)}
 	l.fingerprint = membership.Fingerprint(l.routers, l.members)
 	d.lists[s] = l
 	return l
 }
 
-// listsAge is how old the lists that agents are told may be.
-const listsAge = 100 * time.Millisecond
+// agentListsMaxAge is the maximum age of the lists that are sent to agents.
+const agentListsMaxAge = 100 * time.Millisecond
 
-func reportOf(now time.Time, l membership.Load) routing.Report {
+func loadReport(now time.Time, l membership.Load) routing.Report {
 	return routing.Report{
 		At: now, Work: l.InFlight + l.Queued, Concurrency: l.Concurrency,
 		Step: group.Step(l.Step), StepTime: time.Duration(l.StepMicros) * time.Microsecond,
 	}
 }
 
-// RouterBeat takes in another router's heartbeat.
+// RouterBeat applies another router's heartbeat.
 func (a *API) RouterBeat(b membership.RouterBeat, r *membership.RouterReply) error {
 	now := clock.Now()
 	d := a.d
@@ -216,7 +218,7 @@
 	defer d.mu.Unlock()
 	d.routers.Beat(now, b)
 	d.table.Told(now, b.Leaving)
-	d.relayed(now, b.Info.Incarnation, b.Agents)
+	d.applyRelay(now, b.Info.Incarnation, b.Agents)
 	mine := d.routerBeat(now)
 	live := d.routers.Live(now)
 	*r = membership.RouterReply{
@@ -229,27 +231,27 @@
 	return nil
 }
 
-// relayed takes in what another router says of its agents. The caller holds the lock.
-func (d *Directory) relayed(now time.Time, from string, m membership.Relay) {
+// applyRelay merges another router's gossip about its agents. The caller holds the lock.
+func (d *Directory) applyRelay(now time.Time, from string, m membership.Relay) {
 	for _, id := range d.table.Relay(now, from, m) {
 		e, ok := d.table.Entry(now, id)
 		if !ok {
 			continue
 		}
-		d.tracker.Report(id, reportOf(e.LoadAt, e.Beat.Load))
+		d.tracker.Report(id, loadReport(e.LoadAt, e.Beat.Load))
 		for sl, epoch := range e.Beat.Owned {
 			d.register.Raise(once.SliceKey{Service: e.Beat.Service, Slice: sl}, epoch)
 		}
 	}
 }
 
-// Config returns the configuration in force here.
+// Config returns this router's configuration state.
 func (a *API) Config(_ Nothing, p *configlog.PeerState) error {
 	*p = a.d.opts.Follower.Peer()
 	return nil
 }
 
-// Floors returns the lowest owner epochs this router sends to.
+// Floors returns the lowest owner epoch of each slice that this router still sends to.
 func (a *API) Floors(_ Nothing, f *map[once.SliceKey]once.Epoch) error {
 	a.d.mu.Lock()
 	defer a.d.mu.Unlock()
@@ -257,24 +259,26 @@
 	return nil
 }
 
-// SettleArgs asks a router for the keys of a slice that it sent without the log.
+// SettleArgs requests the keys of a slice that a router sent without the log.
 type SettleArgs struct {
 	Service service.ID
 	Slice   request.Slice
 	Epoch   once.Epoch
-	// OutageAfter is how long the log must be out before owners run keys without their journal.
+	// OutageAfter is how long the log must be unreachable before owners run keys without their
+	// journal.
 	OutageAfter time.Duration
 	Lifetime    time.Duration
 }
 
-// SettleReply lists those keys, and the routers that can no longer be asked.
+// SettleReply lists those keys and the routers whose keys are unknown.
 type SettleReply struct {
 	Incarnation string
 	Keys        []once.KeyID
 	Lost        []membership.Lost
 }
 
-// Settle returns the keys sent without the log and stops sending to earlier owners.
+// Settle returns the keys of a slice that were sent without the log, and stops sending to owners of
+// earlier epochs.
 func (a *API) Settle(s SettleArgs, r *SettleReply) error {
 	now := clock.Now()
 	d := a.d
@@ -292,7 +296,7 @@
 	return nil
 }
 
-// CollectTimeline gathers the events of all known processes and names those that did not answer.
+// CollectTimeline returns the events of all known processes, and the processes that did not answer.
 func (d *Directory) CollectTimeline(ctx context.Context, f timeline.Filter) ([]timeline.Event, []string) {
 	now := clock.Now()
 	d.mu.Lock()
--- a/services/directory/directory.go
+++ b/services/directory/directory.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package directory is what a router knows of the processes around it, kept up to date by
-// heartbeats, the platform's VM list and the configuration.
+// Package directory is a router's cluster view, kept up to date by heartbeats, the platform's VM
+// list and the configuration.
 package directory
 
 import (
@@ -29,7 +29,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Options holds what a Directory needs.
+// Options holds the settings and dependencies of a Directory.
 type Options struct {
 	Interval  membership.Interval
 	Self      membership.RouterInfo
@@ -43,7 +43,8 @@
 	Tracker   routing.Options
 }
 
-// Directory joins the router's cores behind one lock. It is safe for use by several goroutines.
+// Directory guards the router's membership, routing and once state with one lock. It is safe for
+// use by several goroutines.
 type Directory struct {
 	opts Options
 
@@ -52,23 +53,24 @@
 	routers  *membership.Routers
 	tracker  *routing.Tracker
 	register *once.Register
-	// floorsKnown says that another router's floors were taken in, or that there is no other router.
+	// floorsKnown reports whether another router's floors were merged or there is no other router.
 	floorsKnown bool
 	started     time.Time
-	lists       map[service.ID]*lists
+	lists       map[service.ID]*agentLists
 	outbox      *membership.Outbox
-	// listsOf holds the lists of routers heard from each address.
-	listsOf map[string]routerList
-	// suspects holds the last known suspicion, to tell changes in the time line.
-	suspects map[upstream.ID]bool
+	// peerLists maps each router's address to the list of routers that it sent last.
+	peerLists map[string]routerList
+	// unavailable maps each upstream to whether it was suspect or leaving at the last check, to report
+	// changes in the timeline.
+	unavailable map[upstream.ID]bool
 }
 
-// New returns a directory that knows only the seeds.
+// New returns a directory that has only the seed addresses.
 func New(o Options) *Directory {
 	return &Directory{
 		opts: o, table: membership.NewTable(o.Interval), routers: membership.NewRouters(o.Interval, o.Self, o.Seeds),
 		tracker: routing.NewTracker(o.Tracker), register: once.NewRegister(o.Retention),
-		started: clock.Now(), lists: map[service.ID]*lists{}, outbox: membership.NewOutbox(), listsOf: map[string]routerList{}, suspects: map[upstream.ID]bool{},
+		started: clock.Now(), lists: map[service.ID]*agentLists{}, outbox: membership.NewOutbox(), peerLists: map[string]routerList{}, unavailable: map[upstream.ID]bool{},
 	}
 }
 
@@ -77,16 +79,16 @@
 	listInterval = time.Second
 	// listTimeout bounds one read of the list.
 	listTimeout = 3 * time.Second
-	// attestAfter is how long a router must have run before it may vouch that the log is out.
-	attestAfter = 10 * time.Second
+	// outageConfirmAfter is the uptime from which a router may confirm an outage of the log.
+	outageConfirmAfter = 10 * time.Second
 )
 
 // Run keeps the directory up to date until ctx ends.
 func (d *Directory) Run(ctx context.Context) {
 	var w sync.WaitGroup
 	w.Go(func() { d.every(ctx, listInterval, d.readList) })
-	w.Go(func() { d.every(ctx, d.opts.Interval.Beat(), d.beat) })
-	w.Go(func() { d.every(ctx, time.Second, d.keep) })
+	w.Go(func() { d.every(ctx, d.opts.Interval.Beat(), d.sendBeats) })
+	w.Go(func() { d.every(ctx, time.Second, d.maintain) })
 	w.Wait()
 }
 
@@ -117,8 +119,8 @@
 	d.routers.VMs(clock.Now(), list)
 }
 
-// keep expires old knowledge and keeps the configuration alive in the log.
-func (d *Directory) keep(ctx context.Context) {
+// maintain expires old entries and keeps the configuration in the log by checkpoints.
+func (d *Directory) maintain(ctx context.Context) {
 	now := clock.Now()
 	d.mu.Lock()
 	d.table.Expire(now)
@@ -127,50 +129,53 @@
 	}
 	live := d.routers.Live(now)
 	anchored := d.routers.AnchoredElsewhere(now)
-	d.noteSuspects(now)
+	d.recordUnavailable(now)
 	d.mu.Unlock()
-	turn := 0
+	routerIndex := 0
 	for i, r := range live {
 		if r.Incarnation == d.opts.Self.Incarnation {
-			turn = i
+			routerIndex = i
 		}
 	}
-	if err := d.opts.Follower.KeepAlive(ctx, now, d.opts.Retention, turn, anchored); err != nil {
+	if err := d.opts.Follower.KeepAlive(ctx, now, d.opts.Retention, routerIndex, anchored); err != nil {
 		d.opts.Logger.Debug().Err(err).Msg("checkpoint failed")
 	}
 }
 
-// noteSuspects tells the time line whose state has changed. The caller holds the lock.
-func (d *Directory) noteSuspects(now time.Time) {
+// recordUnavailable adds a timeline event for each upstream whose state has changed. The caller
+// holds the lock.
+func (d *Directory) recordUnavailable(now time.Time) {
 	for id, e := range d.table.All(now) {
 		out := e.Suspect || e.Leaving
-		if was, ok := d.suspects[id]; ok && was == out {
+		if was, ok := d.unavailable[id]; ok && was == out {
 			continue
 		}
-		d.suspects[id] = out
+		d.unavailable[id] = out
 		d.opts.Ring.Add(now, timeline.Event{Kind: timeline.KindMembership, Name: "upstream", Detail: fmt.Sprintf("upstream=%s suspect=%t leaving=%t", id, e.Suspect, e.Leaving)})
 	}
 }
 
-// logAge returns how long the log has been out of this router's reach; a router that has only just
-// started, or does not know which owners were replaced, says 0: it cannot vouch for an outage.
-func (d *Directory) logAge(now time.Time) time.Duration {
+// confirmedLogAge returns how long the log has been unreachable for this router. It returns 0 if
+// the router has just started or does not know which owners were replaced, since it cannot confirm
+// an outage then.
+func (d *Directory) confirmedLogAge(now time.Time) time.Duration {
 	contact := d.opts.Follower.Contact()
-	if contact.IsZero() || now.Sub(d.started) < attestAfter || !d.floorsKnown {
+	if contact.IsZero() || now.Sub(d.started) < outageConfirmAfter || !d.floorsKnown {
 		return 0
 	}
 	return now.Sub(contact)
 }
 
-// logOut returns how long the log has been out of this router's reach, since its start if need be.
-func (d *Directory) logOut(now time.Time) time.Duration {
+// logUnreachableFor returns how long the log has been unreachable for this router, counted from its
+// start if it has had no contact yet.
+func (d *Directory) logUnreachableFor(now time.Time) time.Duration {
 	if contact := d.opts.Follower.Contact(); !contact.IsZero() {
 		return now.Sub(contact)
 	}
 	return now.Sub(d.started)
 }
 
-// Pick returns the upstream of a service that should take a request.
+// Pick chooses the upstream of a service for a request and counts the request as sent.
 func (d *Directory) Pick(now time.Time, s *service.Service, exclude map[upstream.ID]bool) (membership.Entry, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -185,7 +190,7 @@
 	return e, true
 }
 
-// candidates lists the upstreams that may take new work. The caller holds the lock.
+// candidates lists the upstreams that may get new work. The caller holds the lock.
 func (d *Directory) candidates(now time.Time, s *service.Service, exclude map[upstream.ID]bool) []routing.Candidate {
 	closed := map[upstream.ID]bool{}
 	for _, u := range s.Closed {
@@ -210,42 +215,42 @@
 	return out
 }
 
-// Done notes the end of a request that Pick had placed.
+// Done records the end of a request that was sent to the upstream returned by Pick.
 func (d *Directory) Done(now time.Time, id upstream.ID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.tracker.Done(now, id)
 }
 
-// StreamBegan notes that a request placed by Pick streams.
+// StreamBegan records that the response of such a request is streamed.
 func (d *Directory) StreamBegan(now time.Time, id upstream.ID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.tracker.Streaming(now, id)
 }
 
-// StreamProgress notes a token of a streamed request.
+// StreamProgress records a token of a streamed response.
 func (d *Directory) StreamProgress(now time.Time, id upstream.ID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.tracker.Progress(now, id)
 }
 
-// StreamEnded notes the end of a streamed request.
+// StreamEnded records the end of a streamed response.
 func (d *Directory) StreamEnded(id upstream.ID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.tracker.StreamEnded(id)
 }
 
-// Gone notes that an agent cannot be reached.
+// Gone records that an agent is unreachable.
 func (d *Directory) Gone(e membership.Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.table.Gone(clock.Now(), e.Beat.Upstream, e.Beat.Incarnation)
 }
 
-// ErrNoOwner reports a slice that has no live owner at present.
+// ErrNoOwner reports a slice without a live owner.
 type ErrNoOwner struct {
 	Service service.ID
 	Slice   request.Slice
@@ -255,48 +260,53 @@
 	return fmt.Sprintf("slice %d of %s has no live owner", e.Slice, e.Service)
 }
 
-// ErrLogOut reports that the log has been out of reach for so long that no slice can change hands soon.
-var ErrLogOut = eris.New("the log is out of reach")
+// ErrLogOut reports that the log has been unreachable for so long that no slice can change its
+// owner soon.
+var ErrLogOut = eris.New("the log is unreachable")
 
-// outageCertain is how long the log must be out of reach before waiting for it is no use.
-const outageCertain = 3 * time.Second
+// outageCertainAfter is how long the log must be unreachable before requests no longer wait for it.
+const outageCertainAfter = 3 * time.Second
 
-// Ownership is the owner a request that may not be repeated goes to.
+// Ownership is the owner that a request which must not be repeated is sent to.
 type Ownership struct {
 	Entry membership.Entry
 	Epoch once.Epoch
-	// LogAge is how long the log has been out of this router's reach, if it can vouch for that.
+	// LogAge is how long the log has been unreachable for this router, or 0 if it cannot confirm an
+	// outage.
 	LogAge time.Duration
-	// NoVoucher says that the log is out and this router cannot vouch for it: it has started since.
+	// NoVoucher reports whether the log is unreachable but this router cannot confirm the outage,
+	// because it has started since.
 	NoVoucher bool
 }
 
-// Owner returns the owner of a slice. If the log is out of reach, the key is noted in the register first.
+// Owner returns the owner of a slice. If the log is unreachable, the key is recorded in the
+// register first.
 func (d *Directory) Owner(now time.Time, s service.ID, sl request.Slice, key once.KeyID) (Ownership, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e, epoch, ok := d.table.Owner(now, s, sl)
-	age := d.logAge(now)
+	age := d.confirmedLogAge(now)
 	if !ok || e.Suspect {
-		none := ErrNoOwner{Service: s, Slice: sl}
-		if d.logOut(now) > outageCertain {
-			return Ownership{}, fmt.Errorf("%w: %w", none, ErrLogOut)
+		noOwner := ErrNoOwner{Service: s, Slice: sl}
+		if d.logUnreachableFor(now) > outageCertainAfter {
+			return Ownership{}, fmt.Errorf("%w: %w", noOwner, ErrLogOut)
 		}
-		return Ownership{}, none
+		return Ownership{}, noOwner
 	}
-	if err := d.register.Send(now, once.SliceKey{Service: s, Slice: sl}, epoch, key, age > 0 && age > minOutage); err != nil {
+	if err := d.register.Send(now, once.SliceKey{Service: s, Slice: sl}, epoch, key, age > 0 && age > minConfirmedOutage); err != nil {
 		return Ownership{}, fmt.Errorf("slice %d of %s: %w", sl, s, err)
 	}
-	if age <= minOutage {
+	if age <= minConfirmedOutage {
 		age = 0
 	}
-	return Ownership{Entry: e, Epoch: epoch, LogAge: age, NoVoucher: age == 0 && d.logOut(now) > outageCertain}, nil
+	return Ownership{Entry: e, Epoch: epoch, LogAge: age, NoVoucher: age == 0 && d.logUnreachableFor(now) > outageCertainAfter}, nil
 }
 
-// minOutage is the shortest outage that a router vouches for. Every agent's outage_after is longer.
-const minOutage = 900 * time.Millisecond
+// minConfirmedOutage is the shortest outage that a router confirms. The outage_after of every agent
+// is longer.
+const minConfirmedOutage = 900 * time.Millisecond
 
-// Live returns the routers that are alive, this one included.
+// Live returns the live routers, including this one.
 func (d *Directory) Live(now time.Time) []membership.RouterInfo {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -317,22 +327,23 @@
 	return d.routers.Self()
 }
 
-// Ready reports whether this router may serve: it knows the configuration and, for each service that
-// has upstreams, one that takes work. A router that has looked for longer than a silent agent is given
-// serves without: there is none.
+// Ready reports whether this router may serve callers: it has the configuration and, for each
+// service with upstreams, one that accepts work. A router that has run for longer than
+// Interval.Suspect serves also without such an upstream, because then none is alive.
 func (d *Directory) Ready(now time.Time) bool {
 	d.mu.Lock()
 	others := len(d.routers.Live(now)) - 1
-	settled := now.Sub(d.started) > d.opts.Interval.Suspect()
+	discovered := now.Sub(d.started) > d.opts.Interval.Suspect()
 	d.mu.Unlock()
-	if !d.opts.Follower.Ready(min(others, peersWanted)) {
+	if !d.opts.Follower.Ready(min(others, minConfigPeers)) {
 		return false
 	}
-	return settled || d.serves(now, d.opts.Follower.State().Intent)
+	return discovered || d.hasUpstreams(now, d.opts.Follower.State().Intent)
 }
 
-// serves reports whether each service of an intent has an upstream that takes work.
-func (d *Directory) serves(now time.Time, in *intent.Intent) bool {
+// hasUpstreams reports whether each service of an intent that has upstreams has one that accepts
+// work.
+func (d *Directory) hasUpstreams(now time.Time, in *intent.Intent) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i := range in.Services {
@@ -344,5 +355,6 @@
 	return true
 }
 
-// peersWanted is the number of routers to ask for the configuration while the log is out of reach.
-const peersWanted = 2
+// minConfigPeers is the number of routers whose configuration is adopted before serving while the
+// log is unreachable.
+const minConfigPeers = 2
--- a/services/directory/directory_test.go
+++ b/services/directory/directory_test.go
@@ -14,8 +14,8 @@
 	"fawnwinch.org/fawnwinch/services/routing"
 )
 
-// TestServes checks that a router which knows the configuration but no upstream does not take callers:
-// it would refuse requests that other routers can serve.
+// TestServes checks that a router with a configuration but without a usable upstream accepts no
+// callers: it would refuse requests that other routers can serve.
 func TestServes(t *testing.T) {
 	now := time.Now()
 	in := &intent.Intent{Services: []service.Service{
@@ -26,9 +26,9 @@
 		beats []upstream.ID
 		want  bool
 	}{
-		"no upstream is known yet":        {nil, false},
-		"one of a service is enough":      {[]upstream.ID{"b"}, true},
-		"an upstream that no one asks of": {[]upstream.ID{"c"}, false},
+		"no upstream is known yet":       {nil, false},
+		"one upstream of a service":      {[]upstream.ID{"b"}, true},
+		"an upstream that is not listed": {[]upstream.ID{"c"}, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -38,7 +38,7 @@
 				b.Echo = d.table.Beat(now, b)
 				d.table.Beat(now, b)
 			}
-			if got := d.serves(now, in); got != c.want {
+			if got := d.hasUpstreams(now, in); got != c.want {
 				t.Errorf("serves: %t, want %t", got, c.want)
 			}
 		})
--- a/services/directory/status.go
+++ b/services/directory/status.go
@@ -14,7 +14,7 @@
 	"fawnwinch.org/fawnwinch/services/membership"
 )
 
-// ProcessStatus is one line of the status.
+// ProcessStatus is the status of one process.
 type ProcessStatus struct {
 	ID         string          `json:"id"`
 	Role       vm.Role         `json:"role"`
@@ -30,19 +30,19 @@
 	Slices     int             `json:"slices,omitempty"`
 }
 
-// Status is what one router knows of all processes.
+// Status is one router's view of all processes.
 type Status struct {
 	Router    string          `json:"router"`
 	Revision  intent.Revision `json:"revision"`
 	Processes []ProcessStatus `json:"processes"`
 }
 
-// Everywhere reports whether every live process has a revision in force.
+// Everywhere reports whether every process that is not suspect has at least a revision in force.
 func (s *Status) Everywhere(rev intent.Revision) bool {
 	return !slices.ContainsFunc(s.Processes, func(p ProcessStatus) bool { return p.Revision < rev && p.State != "suspect" })
 }
 
-// Status returns what this router knows of all processes.
+// Status returns this router's view of all processes.
 func (d *Directory) Status(now time.Time) Status {
 	rev := d.opts.Follower.State().Revision
 	d.mu.Lock()
