--- a/services/agent/agent.go
+++ b/services/agent/agent.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package agent is the process beside an upstream: the last hop before it. It shares the upstream
-// among client accounts, keeps requests that may not be repeated from running twice, reports load
-// and lets the upstream leave without cutting a request.
+// Package agent is the process beside an upstream, the last hop before it. It shares the upstream
+// among client accounts, prevents requests that must not be repeated from running twice, reports
+// load and drains the upstream without cutting a request.
 package agent
 
 import (
@@ -55,13 +55,13 @@
 	links    *links
 	switcher *switcher
 
-	state    atomic.Value // upstream.State
-	leaving  atomic.Int64 // unix nanoseconds at which leaving began, or 0
-	stopping atomic.Bool  // the process stops: leaving is final
-	load     atomic.Pointer[engineLoad]
-	inFlight atomic.Int64
-	// moved counts the experts this rank has loaded.
-	moved atomic.Int64
+	state        atomic.Value // upstream.State
+	leavingSince atomic.Int64 // unix nanoseconds at which leaving began, or 0
+	stopping     atomic.Bool  // the process stops: leaving is final
+	load         atomic.Pointer[engineLoad]
+	inFlight     atomic.Int64
+	// loadedExperts counts the experts whose weights this rank has loaded.
+	loadedExperts atomic.Int64
 
 	mu     sync.Mutex
 	config intent.State
@@ -75,11 +75,12 @@
 	HTTP, RPC net.Listener
 }
 
-// Outside holds the interfaces to what is not fawnwinch.
+// Outside holds the clients of the systems outside fawnwinch.
 type Outside struct {
 	Log     services.Log
 	Weights services.WeightStore
-	// Engine is the agent's own rank; Dial reaches the engines of other ranks.
+	// Engine is the client of the agent's own rank; Dial returns clients of the engines of other
+	// ranks.
 	Engine services.Engine
 	Dial   EngineDialer
 }
@@ -87,7 +88,7 @@
 // EngineDialer returns a client of the engine at an address.
 type EngineDialer func(address string) services.Engine
 
-// New returns an agent that does not run yet.
+// New returns an agent that is not started.
 func New(set setting.Agent, out Outside, ls Listeners, m *metrics.Metrics, ring *timeline.Ring, logger zerolog.Logger) (*Agent, error) {
 	incarnation, err := uuid.NewV7()
 	if err != nil {
@@ -120,7 +121,7 @@
 // upstreamDialTimeout bounds a connection attempt to the upstream beside the agent.
 const upstreamDialTimeout = time.Second
 
-// onceAnswerBytes bounds the kept answers of an agent.
+// onceAnswerBytes is the size limit of the answers that an agent keeps.
 const onceAnswerBytes = 32 << 20
 
 func (a *Agent) newOnce() *once.Service {
@@ -132,14 +133,14 @@
 	})
 }
 
-// Start begins to serve and to beat.
+// Start starts the servers, the heartbeats and the checks of the upstream.
 func (a *Agent) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	a.cancel = cancel
 	a.http.Start()
 	a.rpc.Start()
 	a.done.Go(func() { a.links.run(ctx) })
-	a.done.Go(func() { a.watchUpstream(ctx) })
+	a.done.Go(func() { a.watchUpstreamState(ctx) })
 	if a.once != nil {
 		a.done.Go(func() { a.once.Run(ctx) })
 	}
@@ -149,51 +150,52 @@
 	a.logger.Info().Str("http", a.http.Addr()).Str("rpc", a.self.RPC).Msg("agent started")
 }
 
-// Incarnation returns the incarnation of this run.
+// Incarnation returns the incarnation of this agent.
 func (a *Agent) Incarnation() upstream.Incarnation { return a.self.Incarnation }
 
-// State returns the state the agent reports.
+// State returns the state that the agent reports.
 func (a *Agent) State() upstream.State {
-	if a.leaving.Load() != 0 {
+	if a.leavingSince.Load() != 0 {
 		return upstream.StateLeaving
 	}
 	s, _ := a.state.Load().(upstream.State)
 	return s
 }
 
-// Asked follows what the routers say of the platform's list and the configuration: the upstream
-// leaves while one of them says so, and comes back when none does any more.
+// Asked applies the routers' requests to leave, which follow from the platform's list and the
+// configuration. The upstream leaves while any router requests it and returns when none does.
 func (a *Agent) Asked(now time.Time, leave bool) {
 	if leave {
 		a.leave(now, "platform or configuration")
 		return
 	}
-	if at := a.leaving.Load(); at != 0 && !a.stopping.Load() && a.leaving.CompareAndSwap(at, 0) {
+	if at := a.leavingSince.Load(); at != 0 && !a.stopping.Load() && a.leavingSince.CompareAndSwap(at, 0) {
 		a.ring.Add(now, timeline.Event{Kind: timeline.KindDrain, Name: "back"})
-		a.links.nudge()
+		a.links.wakeUp()
 	}
 }
 
-// leave begins the planned end of the upstream: it is announced at once, and after a grace in which
-// routers may not know yet, new work is refused.
+// leave starts the drain of the upstream. It is announced at once; new work is refused after
+// leaveGrace, when the routers have learned of it.
 func (a *Agent) leave(now time.Time, why string) {
-	if a.leaving.CompareAndSwap(0, now.UnixNano()) {
+	if a.leavingSince.CompareAndSwap(0, now.UnixNano()) {
 		a.ring.Add(now, timeline.Event{Kind: timeline.KindDrain, Name: "leaving", Detail: "why=" + why})
 		a.logger.Info().Str("why", why).Msg("leaving")
-		a.links.nudge()
+		a.links.wakeUp()
 	}
 }
 
-// leaveGrace is how long a leaving agent still takes requests of routers that may not know yet.
+// leaveGrace is how long a leaving agent still accepts requests, for routers that may not have
+// learned of it yet.
 const leaveGrace = 1500 * time.Millisecond
 
-// closed reports whether new work is refused because the upstream leaves.
-func (a *Agent) closed(now time.Time) bool {
-	at := a.leaving.Load()
+// refusesWork reports whether new work is refused because the upstream is leaving.
+func (a *Agent) refusesWork(now time.Time) bool {
+	at := a.leavingSince.Load()
 	return at != 0 && now.UnixNano()-at > int64(leaveGrace)
 }
 
-// setConfig takes a higher revision in force.
+// setConfig puts a configuration with a higher revision in force.
 func (a *Agent) setConfig(now time.Time, s intent.State) {
 	a.mu.Lock()
 	if s.Intent == nil || s.Revision <= a.config.Revision {
@@ -215,24 +217,25 @@
 	return a.config
 }
 
-// listed returns the upstreams that the configuration lists for the agent's service.
-func (a *Agent) listed() []upstream.ID {
+// configuredMembers returns the upstreams that the configuration lists for the agent's service.
+func (a *Agent) configuredMembers() []upstream.ID {
 	if sv := a.Config().Intent.Service(a.set.Upstream.Service); sv != nil {
 		return sv.Members()
 	}
 	return nil
 }
 
-// stopPoll is the time between two looks at whether a leaving agent is done.
-const stopPoll = 50 * time.Millisecond
+// stopPollInterval is the poll interval of Stop.
+const stopPollInterval = 50 * time.Millisecond
 
-// Stop ends the agent without cutting a request: it leaves, waits until routers know, its slices
-// are handed over and its requests have ended, and closes then. When ctx ends first, what is left is cut.
+// Stop stops the agent without cutting a request. It leaves, waits until the routers have learned
+// of it, its slices are handed over and its requests have ended, and closes then. If ctx ends
+// first, the remaining requests are cut.
 func (a *Agent) Stop(ctx context.Context) error {
 	now := clock.Now()
 	a.stopping.Store(true)
 	a.leave(now, "stop")
-	ticker := time.NewTicker(stopPoll)
+	ticker := time.NewTicker(stopPollInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil && !a.drained(clock.Now()) {
 		select {
@@ -252,9 +255,9 @@
 	return nil
 }
 
-// drained reports whether a leaving agent has nothing left to do.
+// drained reports whether a leaving agent has no requests left, nor slices that it can hand over.
 func (a *Agent) drained(now time.Time) bool {
-	if !a.closed(now) || a.inFlight.Load() > 0 {
+	if !a.refusesWork(now) || a.inFlight.Load() > 0 {
 		return false
 	}
 	if a.once == nil || !a.links.othersReady(now) {
--- a/services/agent/api.go
+++ b/services/agent/api.go
@@ -12,17 +12,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// API is what an agent offers to other processes over rpc.
+// API is the rpc interface of an agent.
 type API struct{ a *Agent }
 
-// HandoverArgs asks for the table of a slice.
+// HandoverArgs requests the table of a slice.
 type HandoverArgs struct {
-	// Owner is the incarnation the asker takes for the owner.
+	// Owner is the owner of the slice as far as the caller knows.
 	Owner once.Owner
 	Slice request.Slice
 }
 
-var errOtherIncarnation = eris.New("another incarnation of the agent runs here")
+var errOtherIncarnation = eris.New("agent runs as another incarnation")
 
 // Handover freezes a slice and returns its table.
 func (p *API) Handover(args HandoverArgs, t *once.Table) error {
--- a/services/agent/coordinate.go
+++ b/services/agent/coordinate.go
@@ -27,22 +27,23 @@
 const (
 	// planInterval is the time between two plans of a coordinator.
 	planInterval = 2 * time.Second
-	// roundTick is the time between two looks at a round in progress.
+	// roundTick is the time between two ticks of a round in progress.
 	roundTick = 20 * time.Millisecond
-	// stageLimit bounds the loading of weights at one rank.
-	stageLimit = 2 * time.Minute
-	// holdLimit bounds how long ranks are kept holding for one that does not answer. It leaves time
-	// for a direct order where the engine checks fences.
-	holdLimit = 3 * directAfter
-	// switchRetry is the time after which an unanswered message is sent again.
-	switchRetry = 300 * time.Millisecond
-	// switchMargin is the number of steps between the preparation and the switch: about 50 ms of them.
-	switchMargin = 12
-	// directAfter is how long a rank's agent may be gone inside a hold before its engine is ordered directly.
-	directAfter = time.Second
+	// stageTimeout bounds the loading of weights at one rank.
+	stageTimeout = 2 * time.Minute
+	// holdTimeout bounds how long the ranks hold for one that does not answer. It leaves time for a
+	// direct order where the engine checks fences.
+	holdTimeout = 3 * directOrderAfter
+	// switchRetryInterval is the retry interval of an unanswered message.
+	switchRetryInterval = 300 * time.Millisecond
+	// switchMarginSteps is the number of steps between the preparation and the switch, about 50 ms.
+	switchMarginSteps = 12
+	// directOrderAfter is how long a rank's agent may not answer in a round before the order is sent
+	// directly to its engine.
+	directOrderAfter = time.Second
 )
 
-// run plans for the group while this agent is beside its first living rank.
+// run coordinates the group while this agent leads it (see leads).
 func (s *switcher) run(ctx context.Context) {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
@@ -63,8 +64,8 @@
 		if planner == nil || !slices.Equal(ranks, g.Ranks) {
 			ranks = g.Ranks
 			planner = placement.NewPlanner()
-			coord = expertswitch.NewCoordinator(expertswitch.Config{Retry: switchRetry, Margin: switchMargin, StageLimit: stageLimit, HoldLimit: holdLimit}, g.ID, self, expertswitch.Incarnation(rand.Uint32()), len(g.Ranks)) //nolint:gosec // no secret
-			s.finish(ctx, coord, g)
+			coord = expertswitch.NewCoordinator(expertswitch.Config{Retry: switchRetryInterval, Margin: switchMarginSteps, StageLimit: stageTimeout, HoldLimit: holdTimeout}, g.ID, self, expertswitch.Incarnation(rand.Uint32()), len(g.Ranks)) //nolint:gosec // no secret
+			s.recoverRound(ctx, coord, g)
 		}
 		if err := s.planOnce(ctx, planner, coord, g); err != nil {
 			s.a.logger.Debug().Err(err).Msg("no plan")
@@ -72,7 +73,7 @@
 	}
 }
 
-// leads reports whether no rank before this one has a living agent.
+// leads reports whether this agent is ready and no lower rank has a ready agent.
 func (s *switcher) leads(now time.Time, g service.Group, self group.Rank) bool {
 	if s.a.State() != upstream.StateReady {
 		return false
@@ -85,16 +86,16 @@
 	return true
 }
 
-// finish ends what an earlier coordinator may have left behind.
-func (s *switcher) finish(ctx context.Context, coord *expertswitch.Coordinator, g service.Group) {
+// recoverRound completes or aborts a round that an earlier coordinator may have left open.
+func (s *switcher) recoverRound(ctx context.Context, coord *expertswitch.Coordinator, g service.Group) {
 	if b, err := s.promised(ctx); err == nil {
 		coord.Seen(b)
 	}
 	res := s.round(ctx, coord, g, nil)
-	s.tell(g, "round", fmt.Sprintf("result=%s purpose=recover", res))
+	s.recordEvent(g, "round", fmt.Sprintf("result=%s purpose=recover", res))
 }
 
-func (s *switcher) tell(g service.Group, name, detail string) {
+func (s *switcher) recordEvent(g service.Group, name, detail string) {
 	s.a.ring.Add(clock.Now(), timeline.Event{Kind: timeline.KindMap, Name: name, Group: string(g.ID), Detail: detail})
 }
 
@@ -102,37 +103,38 @@
 	now := clock.Now()
 	counts, err := s.a.engine.Popularity(ctx)
 	if err != nil {
-		return fmt.Errorf("ask own engine: %w", err)
+		return fmt.Errorf("query own engine: %w", err)
 	}
 	planner.Observe(now, counts)
-	m, err := s.mapOf(ctx)
+	m, err := s.engineMap(ctx)
 	if err != nil {
 		return err
 	}
-	states, held := s.states(ctx, g)
+	states, held := s.engineStates(ctx, g)
 	if held {
-		s.finish(ctx, coord, g)
+		s.recoverRound(ctx, coord, g)
 		return nil
 	}
-	speed := placement.Speeds(m, planner.Popularity(), busy(states))
+	speed := placement.Speeds(m, planner.Popularity(), busyTimes(states))
 	plan, err := planner.Plan(now, m, speed, s.a.Config().Intent.Rebalance)
 	if err != nil {
 		return fmt.Errorf("plan group %s: %w", g.ID, err)
 	}
-	s.tell(g, "plan", fmt.Sprintf("reason=%s moves=%d skew=%.3f planned_skew=%.3f", plan.Reason, plan.Moves, plan.Before, plan.After))
+	s.recordEvent(g, "plan", fmt.Sprintf("reason=%s moves=%d skew=%.3f planned_skew=%.3f", plan.Reason, plan.Moves, plan.Before, plan.After))
 	if plan.Map == nil {
 		return nil
 	}
 	res := s.round(ctx, coord, g, plan.Map)
-	s.tell(g, "round", fmt.Sprintf("result=%s reason=%s moves=%d", res, plan.Reason, plan.Moves))
+	s.recordEvent(g, "round", fmt.Sprintf("result=%s reason=%s moves=%d", res, plan.Reason, plan.Moves))
 	if res == expertswitch.ResultSwitched {
 		planner.Switched(clock.Now(), m)
 	}
 	return nil
 }
 
-// states asks every rank for its engine's state; held says that one waits for a decision nobody makes.
-func (s *switcher) states(ctx context.Context, g service.Group) (out []services.EngineState, held bool) {
+// engineStates returns the engine state of every rank. held reports whether any rank holds: no
+// round is in progress, so no coordinator will end that hold.
+func (s *switcher) engineStates(ctx context.Context, g service.Group) (out []services.EngineState, held bool) {
 	out = make([]services.EngineState, len(g.Ranks))
 	for r, id := range g.Ranks {
 		peer, ok := s.a.links.Peer(clock.Now(), id)
@@ -147,7 +149,7 @@
 	return out, held
 }
 
-func busy(states []services.EngineState) []time.Duration {
+func busyTimes(states []services.EngineState) []time.Duration {
 	out := make([]time.Duration, len(states))
 	for r, st := range states {
 		out[r] = time.Duration(st.BusyMicros) * time.Microsecond
@@ -155,18 +157,18 @@
 	return out
 }
 
-// arrival is a rank's answer on its way to the coordinator.
-type arrival struct {
+// rankReply is a rank's reply to the coordinator.
+type rankReply struct {
 	from  group.Rank
 	reply expertswitch.Reply
 }
 
-// round drives the coordinator until its round has ended.
+// round runs one round of the coordinator to its end.
 func (s *switcher) round(ctx context.Context, coord *expertswitch.Coordinator, g service.Group, proposal *expertmap.Map) expertswitch.Result {
-	replies := make(chan arrival, len(g.Ranks)*4)
+	replies := make(chan rankReply, len(g.Ranks)*4)
 	rctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w := &wire{s: s, g: g, replies: replies, since: map[group.Rank]time.Time{}}
+	w := &roundSender{s: s, g: g, replies: replies, firstSent: map[group.Rank]time.Time{}}
 	w.send(rctx, coord.Start(clock.Now(), proposal))
 	ticker := time.NewTicker(roundTick)
 	defer ticker.Stop()
@@ -185,61 +187,62 @@
 	}
 }
 
-// wire carries the messages of one round.
-type wire struct {
+// roundSender sends the messages of one round.
+type roundSender struct {
 	s       *switcher
 	g       service.Group
-	replies chan arrival
-	// since holds the time at which a rank was first sent the present kind of message.
-	since map[group.Rank]time.Time
-	kind  expertswitch.Kind
+	replies chan rankReply
+	// firstSent maps each rank to the time at which it was first sent the current kind of message.
+	firstSent map[group.Rank]time.Time
+	lastKind  expertswitch.Kind
 }
 
-func (w *wire) send(ctx context.Context, list []expertswitch.Send) {
+func (w *roundSender) send(ctx context.Context, list []expertswitch.Send) {
 	now := clock.Now()
 	for _, m := range list {
-		if m.Message.Kind != w.kind {
-			w.kind, w.since = m.Message.Kind, map[group.Rank]time.Time{}
+		if m.Message.Kind != w.lastKind {
+			w.lastKind, w.firstSent = m.Message.Kind, map[group.Rank]time.Time{}
 		}
-		if _, ok := w.since[m.To]; !ok {
-			w.since[m.To] = now
+		if _, ok := w.firstSent[m.To]; !ok {
+			w.firstSent[m.To] = now
 		}
-		late := now.Sub(w.since[m.To]) > directAfter
-		go w.carry(ctx, m, late)
+		overdue := now.Sub(w.firstSent[m.To]) > directOrderAfter
+		go w.deliver(ctx, m, overdue)
 	}
 }
 
-// carry sends one message and hands its answer on. Late says that the rank's agent has not answered for long.
-func (w *wire) carry(ctx context.Context, m expertswitch.Send, late bool) {
+// deliver sends one message and passes on its reply. Overdue reports whether the rank's agent has
+// not answered for longer than directOrderAfter.
+func (w *roundSender) deliver(ctx context.Context, m expertswitch.Send, overdue bool) {
 	peer, ok := w.s.a.links.Peer(clock.Now(), w.g.Ranks[m.To])
 	if !ok {
 		return
 	}
 	limit := callTimeout
 	if m.Message.Kind == expertswitch.KindStage {
-		limit = stageLimit
+		limit = stageTimeout
 	}
 	cctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	var r expertswitch.Reply
 	err := w.s.a.pool.Call(cctx, peer.Owner.RPC, "Agent.Switch", m.Message, &r)
-	if err != nil && late && peer.ChecksFence {
-		r, err = w.direct(cctx, peer.Engine, m.Message)
+	if err != nil && overdue && peer.ChecksFence {
+		r, err = w.orderDirectly(cctx, peer.Engine, m.Message)
 	}
 	if err != nil {
 		return
 	}
 	select {
-	case w.replies <- arrival{from: m.To, reply: r}:
+	case w.replies <- rankReply{from: m.To, reply: r}:
 	case <-ctx.Done():
 	}
 }
 
-var errNeedsAgent = eris.New("only the rank's agent can do this")
+var errNeedsAgent = eris.New("message requires the agent of the rank")
 
-// direct gives an order to the engine of a rank whose agent is gone. A late order of that agent is
-// refused by the engine's fence.
-func (w *wire) direct(ctx context.Context, address string, m expertswitch.Message) (expertswitch.Reply, error) {
+// orderDirectly sends an order to the engine of a rank whose agent does not answer. The engine's
+// fence refuses a late order of that agent.
+func (w *roundSender) orderDirectly(ctx context.Context, address string, m expertswitch.Message) (expertswitch.Reply, error) {
 	if !m.Direct() {
 		return expertswitch.Reply{}, fmt.Errorf("%s: %w", m.Kind, errNeedsAgent)
 	}
@@ -247,10 +250,10 @@
 	if err := eng.Order(ctx, m.Order()); err != nil {
 		return expertswitch.Reply{}, fmt.Errorf("order engine %s directly: %w", address, err)
 	}
-	w.s.tell(w.g, "direct-order", fmt.Sprintf("kind=%s engine=%s", m.Order().Kind, address))
+	w.s.recordEvent(w.g, "direct-order", fmt.Sprintf("kind=%s engine=%s", m.Order().Kind, address))
 	st, err := eng.State(ctx)
 	if err != nil {
-		return expertswitch.Reply{}, fmt.Errorf("ask engine %s: %w", address, err)
+		return expertswitch.Reply{}, fmt.Errorf("query engine %s: %w", address, err)
 	}
 	return expertswitch.Reply{Kind: m.Kind, Ballot: m.Ballot, OK: true, Promised: m.Ballot, State: st}, nil
 }
--- a/services/agent/handler.go
+++ b/services/agent/handler.go
@@ -24,7 +24,7 @@
 	"fawnwinch.org/fawnwinch/services/share"
 )
 
-// Reasons that routers and callers see.
+// Reasons in answers to routers and callers.
 const (
 	reasonLeaving      = "leaving"
 	reasonWrongService = "wrong-service"
@@ -35,8 +35,8 @@
 	reasonNoOnce       = "not-a-plain-service"
 )
 
-// call is one request of a router.
-type call struct {
+// routerRequest is one request from a router.
+type routerRequest struct {
 	id       request.ID
 	account  account.ID
 	deadline time.Time
@@ -44,7 +44,7 @@
 	priority int
 }
 
-// Paths that the agent answers itself, beside those of its upstream.
+// Paths that the agent serves itself; all others are those of its upstream.
 const (
 	pathMetrics = "GET /fawnwinch/metrics"
 	pathHealth  = "GET /fawnwinch/healthz"
@@ -64,25 +64,27 @@
 	return mux
 }
 
-// errBadHeader reports a header of a router that cannot be read.
+// errBadHeader reports a missing or invalid header in a router's request.
 type errBadHeader struct{ name, value string }
 
-func (e errBadHeader) Error() string { return fmt.Sprintf("header %s: value %q", e.name, e.value) }
+func (e errBadHeader) Error() string {
+	return fmt.Sprintf("invalid header %s: value %q", e.name, e.value)
+}
 
-func readCall(r *http.Request, now time.Time) (call, error) {
+func readRequest(r *http.Request, now time.Time) (routerRequest, error) {
 	budget, err := strconv.Atoi(r.Header.Get(request.HeaderBudget))
 	if err != nil || budget <= 0 {
-		return call{}, errBadHeader{name: request.HeaderBudget, value: r.Header.Get(request.HeaderBudget)}
+		return routerRequest{}, errBadHeader{name: request.HeaderBudget, value: r.Header.Get(request.HeaderBudget)}
 	}
-	c := call{id: request.ID(r.Header.Get(request.HeaderID)), account: account.ID(r.Header.Get(request.HeaderAccount))}
+	c := routerRequest{id: request.ID(r.Header.Get(request.HeaderID)), account: account.ID(r.Header.Get(request.HeaderAccount))}
 	if c.id == "" || c.account == "" {
-		return call{}, errBadHeader{name: request.HeaderID + " or " + request.HeaderAccount}
+		return routerRequest{}, errBadHeader{name: request.HeaderID + " or " + request.HeaderAccount}
 	}
 	c.deadline = now.Add(time.Duration(budget) * time.Millisecond)
 	c.priority, _ = strconv.Atoi(r.Header.Get("Priority"))
 	c.body, err = httpx.ReadAll(r.Body, request.MaxBody)
 	if err != nil {
-		return call{}, fmt.Errorf("request %s: %w", c.id, err)
+		return routerRequest{}, fmt.Errorf("request %s: %w", c.id, err)
 	}
 	return c, nil
 }
@@ -91,47 +93,47 @@
 	a.inFlight.Add(1)
 	defer a.inFlight.Add(-1)
 	now := clock.Now()
-	c, err := readCall(r, now)
+	c, err := readRequest(r, now)
 	w.Header().Set(request.HeaderID, string(c.id))
 	switch {
 	case err != nil:
-		writeEnd(w, once.Answer{Outcome: request.OutcomeNotRun, Reason: reasonBadRequest, Status: http.StatusBadRequest}, 0)
+		writeAnswer(w, once.Answer{Outcome: request.OutcomeNotRun, Reason: reasonBadRequest, Status: http.StatusBadRequest}, 0)
 	case r.Header.Get(request.HeaderService) != string(a.set.Upstream.Service):
-		writeEnd(w, once.Answer{Outcome: request.OutcomeNotRun, Reason: reasonWrongService}, 0)
+		writeAnswer(w, once.Answer{Outcome: request.OutcomeNotRun, Reason: reasonWrongService}, 0)
 	case r.Header.Get(request.HeaderOnce) != "":
 		a.serveOnce(w, r, c)
-	case a.closed(now):
-		writeEnd(w, once.Answer{Outcome: request.OutcomeNotRun, Reason: reasonLeaving}, time.Second)
+	case a.refusesWork(now):
+		writeAnswer(w, once.Answer{Outcome: request.OutcomeNotRun, Reason: reasonLeaving}, time.Second)
 	default:
 		a.serveShared(w, r, c)
 	}
 }
 
-// serveShared runs a request that may be repeated, when its account's turn comes.
-func (a *Agent) serveShared(w http.ResponseWriter, r *http.Request, c call) {
+// serveShared passes a request that may be repeated to the upstream once its account is admitted.
+func (a *Agent) serveShared(w http.ResponseWriter, r *http.Request, c routerRequest) {
 	leave, refusal, err := a.gate.Enter(r.Context(), share.Item{Account: c.account, Deadline: c.deadline, Priority: c.priority})
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	if refusal != nil {
-		a.note(c, "refused", string(refusal.Reason))
-		writeEnd(w, once.Answer{Outcome: request.OutcomeNotRun, Reason: string(refusal.Reason)}, refusal.RetryAfter)
+		a.recordEvent(c, "refused", string(refusal.Reason))
+		writeAnswer(w, once.Answer{Outcome: request.OutcomeNotRun, Reason: string(refusal.Reason)}, refusal.RetryAfter)
 		return
 	}
 	defer leave()
-	a.note(c, "sent-to-upstream", "")
+	a.recordEvent(c, "sent-to-upstream", "")
 	ctx, cancel := clock.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
-	a.pass(ctx, w, r, c)
+	a.forward(ctx, w, r, c)
 }
 
-func (a *Agent) note(c call, name, reason string) {
+func (a *Agent) recordEvent(c routerRequest, name, reason string) {
 	a.ring.Add(clock.Now(), timeline.Event{Kind: timeline.KindRequest, Name: name, Request: string(c.id), Detail: "account=" + string(c.account) + " reason=" + reason})
 }
 
 // upstreamRequest makes the request to the upstream. Its body cannot be rewound, so that the
 // transport never sends it a second time by itself, not even with an idempotency key on it.
-func (a *Agent) upstreamRequest(ctx context.Context, r *http.Request, c call) (*http.Request, error) {
+func (a *Agent) upstreamRequest(ctx context.Context, r *http.Request, c routerRequest) (*http.Request, error) {
 	url := "http://" + a.set.Upstream.Address + r.URL.Path
 	if r.URL.RawQuery != "" {
 		url += "?" + r.URL.RawQuery
@@ -153,46 +155,48 @@
 	return req, nil
 }
 
-// pass sends a request to the upstream and its answer to the router.
-func (a *Agent) pass(ctx context.Context, w http.ResponseWriter, r *http.Request, c call) {
+// forward sends a request to the upstream and returns its answer to the router.
+func (a *Agent) forward(ctx context.Context, w http.ResponseWriter, r *http.Request, c routerRequest) {
 	req, err := a.upstreamRequest(ctx, r, c)
 	if err != nil {
-		writeEnd(w, once.Answer{Outcome: request.OutcomeNotRun, Reason: reasonBadRequest}, 0)
+		writeAnswer(w, once.Answer{Outcome: request.OutcomeNotRun, Reason: reasonBadRequest}, 0)
 		return
 	}
 	resp, err := a.client.Do(req)
 	if err != nil {
-		writeEnd(w, failed(err), 0)
+		writeAnswer(w, failedAnswer(err), 0)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if got := resp.Header.Get(request.HeaderID); got != string(c.id) {
-		a.note(c, "foreign-answer", got)
-		writeEnd(w, once.Answer{Outcome: request.OutcomeUnknown, Reason: reasonForeign}, 0)
+		a.recordEvent(c, "foreign-answer", got)
+		writeAnswer(w, once.Answer{Outcome: request.OutcomeUnknown, Reason: reasonForeign}, 0)
 		return
 	}
 	if resp.Header.Get("Content-Type") == "text/event-stream" {
-		passStream(w, resp)
+		forwardStream(w, resp)
 		return
 	}
 	body, err := httpx.ReadAll(resp.Body, request.MaxBody)
 	if err != nil {
-		writeEnd(w, once.Answer{Outcome: request.OutcomeUnknown, Reason: reasonCut}, 0)
+		writeAnswer(w, once.Answer{Outcome: request.OutcomeUnknown, Reason: reasonCut}, 0)
 		return
 	}
-	writeEnd(w, once.Answer{Outcome: request.OutcomeAnswered, Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, 0)
+	writeAnswer(w, once.Answer{Outcome: request.OutcomeAnswered, Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, 0)
 }
 
-// failed tells whether a request that got no answer can have run.
-func failed(err error) once.Answer {
+// failedAnswer returns the answer for a request that the upstream did not answer: not run if it was
+// never sent, otherwise unknown.
+func failedAnswer(err error) once.Answer {
 	if httpx.NotSent(err) {
 		return once.Answer{Outcome: request.OutcomeNotRun, Reason: reasonDown}
 	}
 	return once.Answer{Outcome: request.OutcomeUnknown, Reason: reasonCut}
 }
 
-// passStream copies a stream as it comes. When it breaks off, so does the answer to the router.
-func passStream(w http.ResponseWriter, resp *http.Response) {
+// forwardStream copies a stream as it arrives. If the upstream breaks it off, the connection to the
+// router is aborted.
+func forwardStream(w http.ResponseWriter, resp *http.Response) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(request.HeaderOutcome, string(request.OutcomeAnswered))
 	w.WriteHeader(resp.StatusCode)
@@ -217,8 +221,8 @@
 	}
 }
 
-// writeEnd answers a router.
-func writeEnd(w http.ResponseWriter, e once.Answer, retryAfter time.Duration) {
+// writeAnswer writes the answer to a router.
+func writeAnswer(w http.ResponseWriter, e once.Answer, retryAfter time.Duration) {
 	h := w.Header()
 	h.Set(request.HeaderOutcome, string(e.Outcome))
 	h.Set(request.HeaderReason, e.Reason)
@@ -237,37 +241,38 @@
 	_, _ = w.Write(e.Body)
 }
 
-// serveOnce runs a request that may not be repeated.
-func (a *Agent) serveOnce(w http.ResponseWriter, r *http.Request, c call) {
+// serveOnce runs a request that must not be repeated.
+func (a *Agent) serveOnce(w http.ResponseWriter, r *http.Request, c routerRequest) {
 	slice, err := strconv.Atoi(r.Header.Get(request.HeaderOnce))
 	if err != nil || slice < 0 || slice >= once.Slices || a.once == nil {
-		writeEnd(w, once.Answer{Outcome: request.OutcomeNotRun, Reason: reasonNoOnce, Status: http.StatusBadRequest}, 0)
+		writeAnswer(w, once.Answer{Outcome: request.OutcomeNotRun, Reason: reasonNoOnce, Status: http.StatusBadRequest}, 0)
 		return
 	}
 	key := request.Key(r.Header.Get(request.HeaderKey))
 	if request.SliceOf(c.account, key, once.Slices) != request.Slice(slice) {
-		writeEnd(w, once.Answer{Outcome: request.OutcomeNotRun, Reason: reasonBadRequest, Status: http.StatusBadRequest}, 0)
+		writeAnswer(w, once.Answer{Outcome: request.OutcomeNotRun, Reason: reasonBadRequest, Status: http.StatusBadRequest}, 0)
 		return
 	}
 	epoch, _ := strconv.ParseUint(r.Header.Get(dispatch.HeaderEpoch), 10, 64)
 	logAge, _ := strconv.Atoi(r.Header.Get(dispatch.HeaderLogAge))
 	attempt := once.Attempt{
 		Request: c.id, Key: once.NewKeyID(c.account, key), Slice: request.Slice(slice), Epoch: once.Epoch(epoch),
-		Digest: digest(r, c.body), Deadline: c.deadline, AskOnly: r.Header.Get(dispatch.HeaderAsk) != "",
+		Digest: requestDigest(r, c.body), Deadline: c.deadline, AskOnly: r.Header.Get(dispatch.HeaderAsk) != "",
 		RouterLogAge: time.Duration(logAge) * time.Millisecond,
 	}
 	answer := a.once.Do(r.Context(), attempt, func(ctx context.Context) once.Answer { return a.runOnce(ctx, r, c) })
-	a.note(c, "once-"+string(answer.Outcome), answer.Reason)
-	writeEnd(w, answer, 0)
+	a.recordEvent(c, "once-"+string(answer.Outcome), answer.Reason)
+	writeAnswer(w, answer, 0)
 }
 
-// digest tells what a key stands for: the method, the path and the body.
-func digest(r *http.Request, body []byte) request.Digest {
+// requestDigest returns the digest of the method, path, query and body that a key stands
+// for.
+func requestDigest(r *http.Request, body []byte) request.Digest {
 	return request.NewDigest(body, r.Method, r.URL.Path, r.URL.RawQuery)
 }
 
-// runOnce waits for the account's turn and sends the request to the upstream, once.
-func (a *Agent) runOnce(ctx context.Context, r *http.Request, c call) once.Answer {
+// runOnce waits until the account is admitted and sends the request to the upstream, once.
+func (a *Agent) runOnce(ctx context.Context, r *http.Request, c routerRequest) once.Answer {
 	leave, refusal, err := a.gate.Enter(ctx, share.Item{Account: c.account, Deadline: c.deadline, Priority: c.priority})
 	if err != nil {
 		return once.Answer{Outcome: request.OutcomeNotRun, Reason: string(share.ReasonDeadline)}
@@ -280,10 +285,10 @@
 	if err != nil {
 		return once.Answer{Outcome: request.OutcomeNotRun, Reason: reasonBadRequest}
 	}
-	a.note(c, "sent-to-upstream", "")
+	a.recordEvent(c, "sent-to-upstream", "")
 	resp, err := a.client.Do(req)
 	if err != nil {
-		return failed(err)
+		return failedAnswer(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := httpx.ReadAll(resp.Body, request.MaxBody)
--- a/services/agent/links.go
+++ b/services/agent/links.go
@@ -18,28 +18,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// link is what the agent knows from one router.
+// link is the state of the agent's connection to one router.
 type link struct {
 	reply   membership.Reply
 	at      time.Time
 	echo    uint64
 	pulling bool
 	busy    bool
-	// leaving says that the router is about to stop.
+	// leaving reports whether the router is leaving.
 	leaving bool
-	// failed is the time since which calls have failed, or zero; tried is the time of the latest.
-	failed, tried time.Time
-	// until is the time up to which an address heard of is called.
-	until time.Time
+	// failingSince is the time since which calls have failed, or zero; lastTried is the time of
+	// the latest call.
+	failingSince, lastTried time.Time
+	// expiresAt is the time until which a learned address is called.
+	expiresAt time.Time
 }
 
-// healthy reports whether the router can serve as a home.
+// healthy reports whether the router can serve as a home router.
 func (k *link) healthy(now time.Time, i membership.Interval) bool {
-	return !k.leaving && (k.failed.IsZero() || now.Sub(k.failed) < i.Beat())
+	return !k.leaving && (k.failingSince.IsZero() || now.Sub(k.failingSince) < i.Beat())
 }
 
-// links beats to the agent's home routers and keeps what they reply. The other routers hear of the
-// agent from them. It implements once.Directory and once.Peers.
+// links sends heartbeats to the agent's home routers and keeps their replies. The other routers
+// learn of the agent by gossip from the home routers. It implements once.Directory and once.Peers.
 type links struct {
 	a        *Agent
 	interval membership.Interval
@@ -65,14 +66,14 @@
 const (
 	// callTimeout bounds a control call.
 	callTimeout = time.Second
-	// routerFor is how long a router heard of is called without an answer.
-	routerFor = 10 * time.Second
-	// joinBeats is the number of heartbeats after the first reply after which the list of members is
-	// taken as complete.
-	joinBeats = 5
+	// routerTTL is how long a learned router address is called without an answer.
+	routerTTL = 10 * time.Second
+	// membersCompleteBeats is the number of heartbeat intervals after the first reply after which the
+	// list of members counts as complete.
+	membersCompleteBeats = 5
 )
 
-func (l *links) nudge() {
+func (l *links) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -85,7 +86,7 @@
 	var w sync.WaitGroup
 	for {
 		for _, address := range l.due(clock.Now()) {
-			w.Go(func() { l.beat(ctx, address) })
+			w.Go(func() { l.sendBeat(ctx, address) })
 		}
 		select {
 		case <-ctx.Done():
@@ -97,38 +98,39 @@
 	}
 }
 
-// homes is the number of routers that an agent beats to.
-const homes = 2
+// homeRouters is the number of home routers of an agent.
+const homeRouters = 2
 
-// probeEvery is the time between two calls of a router that is no home.
-const probeEvery = 5 * time.Second
+// probeInterval is the time between two probes of an unhealthy router that is not a home router.
+const probeInterval = 5 * time.Second
 
-// due returns the routers to beat to now: the homes, and now and then one that has failed. Addresses
-// that were not heard of for long are dropped.
+// due returns the routers to send a heartbeat to now: the home routers, and every probeInterval
+// each unhealthy one. Until the first reply it returns all routers. Expired addresses are removed.
 func (l *links) due(now time.Time) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seq++
 	var out []string
-	for i, address := range l.ranked(now) {
+	for i, address := range l.byPreference(now) {
 		k := l.routers[address]
-		home := i < homes || l.first.IsZero()
-		probe := !k.healthy(now, l.interval) && now.Sub(k.tried) > probeEvery
+		home := i < homeRouters || l.first.IsZero()
+		probe := !k.healthy(now, l.interval) && now.Sub(k.lastTried) > probeInterval
 		if k.busy || (!home && !probe) {
 			continue
 		}
-		k.busy, k.tried = true, now
+		k.busy, k.lastTried = true, now
 		out = append(out, address)
 	}
 	return out
 }
 
-// ranked returns the known routers, the best homes first: the healthy ones by rendezvous score, so
-// that agents spread over the routers. The caller holds the lock.
-func (l *links) ranked(now time.Time) []string {
+// byPreference returns the known routers in order of preference as home routers: healthy ones
+// first, then by rendezvous hashing, so that the agents are spread over the routers. The caller
+// holds the lock.
+func (l *links) byPreference(now time.Time) []string {
 	var all []string
 	for address, k := range l.routers {
-		if !l.seeds[address] && now.After(k.until) {
+		if !l.seeds[address] && now.After(k.expiresAt) {
 			delete(l.routers, address)
 			continue
 		}
@@ -147,8 +149,8 @@
 	return all
 }
 
-func (l *links) beat(ctx context.Context, address string) {
-	b := l.message(clock.Now(), address)
+func (l *links) sendBeat(ctx context.Context, address string) {
+	b := l.newBeat(clock.Now(), address)
 	cctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var r membership.Reply
@@ -158,15 +160,15 @@
 	k, ok := l.routers[address]
 	if err != nil || !ok {
 		if ok {
-			k.fail(now)
+			k.recordFailure(now)
 		}
 		l.mu.Unlock()
 		return
 	}
-	k.busy, k.failed = false, time.Time{}
-	l.take(now, k, r)
+	k.busy, k.failingSince = false, time.Time{}
+	l.storeReply(now, k, r)
 	leave := false
-	for _, f := range l.fresh(now) {
+	for _, f := range l.recentReplies(now) {
 		leave = leave || f.Leave
 	}
 	pull := r.Revision > l.a.Config().Revision && !k.pulling
@@ -175,39 +177,39 @@
 	l.a.ring.Clock.Observe(now, r.Stamp)
 	l.a.Asked(now, leave)
 	if pull {
-		l.pull(ctx, address, k)
+		l.pullConfig(ctx, address, k)
 	}
 }
 
-// fail notes a call without an answer.
-func (k *link) fail(now time.Time) {
+// recordFailure records a call without an answer.
+func (k *link) recordFailure(now time.Time) {
 	k.busy = false
-	if k.failed.IsZero() {
-		k.failed = now
+	if k.failingSince.IsZero() {
+		k.failingSince = now
 	}
 }
 
-// take keeps a router's reply. The caller holds the lock.
-func (l *links) take(now time.Time, k *link, r membership.Reply) {
+// storeReply stores a router's reply. The caller holds the lock.
+func (l *links) storeReply(now time.Time, k *link, r membership.Reply) {
 	if l.first.IsZero() {
 		l.first = now
 	}
 	if r.Routers == nil && r.Lists == k.reply.Lists {
 		r.Routers, r.Members = k.reply.Routers, k.reply.Members
 	}
-	k.reply, k.at, k.echo, k.until = r, now, r.Nonce, now.Add(routerFor)
+	k.reply, k.at, k.echo, k.expiresAt = r, now, r.Nonce, now.Add(routerTTL)
 	for _, i := range r.Routers {
 		other, ok := l.routers[i.RPC]
 		if !ok {
 			other = &link{}
 			l.routers[i.RPC] = other
 		}
-		other.until = now.Add(routerFor)
+		other.expiresAt = now.Add(routerTTL)
 		other.leaving = i.State == membership.RouterLeaving
 	}
 }
 
-func (l *links) message(now time.Time, address string) membership.Beat {
+func (l *links) newBeat(now time.Time, address string) membership.Beat {
 	a := l.a
 	run, wait := a.gate.Counts()
 	load := a.load.Load()
@@ -235,8 +237,8 @@
 	return b
 }
 
-// pull fetches a higher revision from a router.
-func (l *links) pull(ctx context.Context, address string, k *link) {
+// pullConfig fetches a higher revision from a router.
+func (l *links) pullConfig(ctx context.Context, address string, k *link) {
 	cctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var p configlog.PeerState
@@ -249,8 +251,9 @@
 	}
 }
 
-// fresh returns the latest replies of routers that answer. The caller holds the lock.
-func (l *links) fresh(now time.Time) []membership.Reply {
+// recentReplies returns the latest replies of the routers that have answered within
+// Interval.Suspect. The caller holds the lock.
+func (l *links) recentReplies(now time.Time) []membership.Reply {
 	var out []membership.Reply
 	for _, k := range l.routers {
 		if !k.at.IsZero() && now.Sub(k.at) <= l.interval.Suspect() {
--- a/services/agent/metrics.go
+++ b/services/agent/metrics.go
@@ -8,7 +8,7 @@
 	"fawnwinch.org/fawnwinch/services/share"
 )
 
-// register offers the agent's values as metrics.
+// register registers the agent's metrics.
 func (a *Agent) register(m *metrics.Metrics) {
 	gauge := func(name, help string, read func() float64) { m.Gauge(name, help, nil, read) }
 	gauge("upstream_running", "Requests at the upstream.", func() float64 { n, _ := a.gate.Counts(); return float64(n) })
@@ -22,7 +22,7 @@
 		}
 		return float64(len(a.once.Owned()))
 	})
-	moved := func() float64 { return float64(a.moved.Load() * a.set.Upstream.ExpertBytes) }
+	moved := func() float64 { return float64(a.loadedExperts.Load() * a.set.Upstream.ExpertBytes) }
 	m.Counter("expert_weight_moved_bytes_total", "Expert weights that this rank has loaded.", nil, moved)
 	sent := func() float64 { return float64(a.pool.Stats.Sent.Load() + a.rpc.Stats.Sent.Load()) }
 	received := func() float64 { return float64(a.pool.Stats.Received.Load() + a.rpc.Stats.Received.Load()) }
@@ -31,7 +31,7 @@
 	a.registerAccounts(m)
 }
 
-// registerAccounts offers what each account has and had of the upstream.
+// registerAccounts registers the metrics of each account's use of the upstream.
 func (a *Agent) registerAccounts(m *metrics.Metrics) {
 	each := func(name, help string, rising bool, value func(share.Account) float64) {
 		m.Each(name, help, "account", rising, func() []metrics.Sample {
--- a/services/agent/peers.go
+++ b/services/agent/peers.go
@@ -18,12 +18,13 @@
 	"fawnwinch.org/fawnwinch/services/once"
 )
 
-// Members returns the agents of the service. An agent is suspect only if every router that answers says so.
+// Members returns the agents of the service and reports whether the list counts as complete. An
+// agent is suspect only if every router that lists it in a recent reply reports it as suspect.
 func (l *links) Members(now time.Time) ([]once.Member, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	merged := map[once.Owner]once.Member{}
-	for _, r := range l.fresh(now) {
+	for _, r := range l.recentReplies(now) {
 		for _, m := range r.Members {
 			old, ok := merged[m.Owner]
 			member := once.Member{Owner: m.Owner, State: m.State, Suspect: m.Suspect}
@@ -37,25 +38,26 @@
 		}
 	}
 	merged[l.a.self] = once.Member{Owner: l.a.self, State: l.a.State()}
-	listed := l.a.listed()
+	listed := l.a.configuredMembers()
 	out := make([]once.Member, 0, len(merged))
 	for _, m := range merged {
 		if !slices.Contains(listed, m.Owner.Upstream) {
-			// What the configuration does not list gets no slices, and hands over those it has.
+			// An upstream that is not in the configuration gets no slices and hands over those it has.
 			m.State = upstream.StateLeaving
 		}
 		out = append(out, m)
 	}
-	return out, !l.first.IsZero() && now.Sub(l.first) > joinBeats*l.interval.Beat()
+	return out, !l.first.IsZero() && now.Sub(l.first) > membersCompleteBeats*l.interval.Beat()
 }
 
-// Peer returns what the routers know of another agent of the service.
+// Peer returns another agent of the service as the routers report it, preferably from a router that
+// does not suspect it.
 func (l *links) Peer(now time.Time, id upstream.ID) (membership.MemberInfo, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var best membership.MemberInfo
 	found := false
-	for _, r := range l.fresh(now) {
+	for _, r := range l.recentReplies(now) {
 		for _, m := range r.Members {
 			if m.Owner.Upstream == id && (!found || !m.Suspect) {
 				best, found = m, true
@@ -65,7 +67,7 @@
 	return best, found
 }
 
-// othersReady reports whether another agent of the service can take slices over.
+// othersReady reports whether another agent of the service can take over slices.
 func (l *links) othersReady(now time.Time) bool {
 	members, _ := l.Members(now)
 	for _, m := range members {
@@ -76,7 +78,7 @@
 	return false
 }
 
-// Handover asks the owner of a slice for its table.
+// Handover requests the table of a slice from its owner.
 func (l *links) Handover(ctx context.Context, owner once.Owner, s request.Slice) (once.Table, error) {
 	cctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -85,7 +87,8 @@
 	return t, err
 }
 
-// Settle asks every known router for the keys of a slice that it sent without the log.
+// Settle requests from every known router the keys of a slice that it sent without the log. It
+// reports whether the keys are complete.
 func (l *links) Settle(ctx context.Context, s request.Slice, epoch once.Epoch) ([]once.KeyID, bool) {
 	l.mu.Lock()
 	var addresses []string
@@ -93,7 +96,7 @@
 		addresses = append(addresses, address)
 	}
 	live := map[string]bool{}
-	for _, r := range l.fresh(clock.Now()) {
+	for _, r := range l.recentReplies(clock.Now()) {
 		for _, i := range r.Routers {
 			live[i.Incarnation] = true
 		}
@@ -119,12 +122,12 @@
 	if l.a.set.Once.OutageAfter == 0 {
 		return nil, true
 	}
-	return settled(replies, live)
+	return mergeSettled(replies, live)
 }
 
-// settled joins the routers' replies. They are complete if every router that is alive, or that may
-// have sent keys without the log before it was lost, is among them.
-func settled(replies []*directory.SettleReply, live map[string]bool) ([]once.KeyID, bool) {
+// mergeSettled merges the routers' replies. They are complete if every router that is live, or that
+// may have sent keys without the log before it was lost, has replied.
+func mergeSettled(replies []*directory.SettleReply, live map[string]bool) ([]once.KeyID, bool) {
 	var keys []once.KeyID
 	answered := map[string]bool{}
 	needed := maps.Clone(live)
--- a/services/agent/switcher.go
+++ b/services/agent/switcher.go
@@ -24,26 +24,27 @@
 	"github.com/rotisserie/eris"
 )
 
-// switcher obeys coordinators for the agent's own rank, and coordinates its group when the agent
-// is beside the first living rank.
+// switcher executes the coordinator's messages for the agent's own rank. It also coordinates the
+// group while this agent leads it (see leads).
 type switcher struct {
 	a       *Agent
 	weights services.WeightStore
 	dial    EngineDialer
 
-	mu   sync.Mutex
-	part expertswitch.Participant
-	// orders lets one order at a time through, so that what was admitted is given before anything
-	// else is admitted.
-	orders sync.Mutex
+	mu          sync.Mutex
+	participant expertswitch.Participant
+	// orderMu serializes orders, so that an admitted order is sent before the next message is
+	// admitted.
+	orderMu sync.Mutex
 }
 
 // orderTimeout bounds one order to the engine.
 const orderTimeout = 2 * time.Second
 
-var errRecovering = eris.New("the agent has not learnt its promise again yet")
+var errRecovering = eris.New("agent has not recovered its promised ballot yet")
 
-// myGroup returns the group that the configuration puts the agent's upstream in, and its rank there.
+// myGroup returns the group that the configuration puts the agent's upstream in, and its rank
+// there.
 func (s *switcher) myGroup() (service.Group, group.Rank, bool) {
 	sv := s.a.Config().Intent.Service(s.a.set.Upstream.Service)
 	if sv == nil {
@@ -57,21 +58,21 @@
 	return service.Group{}, 0, false
 }
 
-// relearn learns the promise from the engine and all other ranks, after a start.
-func (s *switcher) relearn(ctx context.Context) error {
+// recoverPromise recovers the promised ballot from the engine and all other ranks after a start.
+func (s *switcher) recoverPromise(ctx context.Context) error {
 	s.mu.Lock()
-	done := s.part.Recovered()
+	done := s.participant.Recovered()
 	s.mu.Unlock()
 	if done {
 		return nil
 	}
 	g, self, ok := s.myGroup()
 	if !ok {
-		return fmt.Errorf("no group: %w", errRecovering)
+		return fmt.Errorf("upstream is in no group: %w", errRecovering)
 	}
 	state, err := s.a.engine.State(ctx)
 	if err != nil {
-		return fmt.Errorf("ask own engine: %w", err)
+		return fmt.Errorf("query own engine: %w", err)
 	}
 	var others []expertswitch.Ballot
 	for r, id := range g.Ranks {
@@ -80,20 +81,20 @@
 		}
 		b, err := s.promisedBy(ctx, id)
 		if err != nil {
-			return fmt.Errorf("ask rank %d: %w", r, err)
+			return fmt.Errorf("query rank %d: %w", r, err)
 		}
 		others = append(others, b)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.part.Recover(state.Fence, others...)
+	s.participant.Recover(state.Fence, others...)
 	return nil
 }
 
 func (s *switcher) promisedBy(ctx context.Context, id upstream.ID) (expertswitch.Ballot, error) {
 	peer, ok := s.a.links.Peer(clock.Now(), id)
 	if !ok {
-		return 0, fmt.Errorf("%s is not known: %w", id, errRecovering)
+		return 0, fmt.Errorf("no router reports upstream %s: %w", id, errRecovering)
 	}
 	cctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -102,41 +103,42 @@
 	return b, err
 }
 
-// promised returns the highest ballot that this rank or its engine knows.
+// promised returns the highest ballot that this agent has promised or that is the fence of its
+// engine.
 func (s *switcher) promised(ctx context.Context) (expertswitch.Ballot, error) {
 	s.mu.Lock()
-	b := s.part.Promised()
+	b := s.participant.Promised()
 	s.mu.Unlock()
 	state, err := s.a.engine.State(ctx)
 	if err != nil {
-		return 0, fmt.Errorf("ask own engine: %w", err)
+		return 0, fmt.Errorf("query own engine: %w", err)
 	}
 	return max(b, state.Fence), nil
 }
 
-// admit asks the participant about a message.
+// admit lets the participant check a message and returns the order for the engine.
 func (s *switcher) admit(m expertswitch.Message) (services.Order, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o, err := s.part.Admit(m)
+	o, err := s.participant.Admit(m)
 	if err != nil {
 		return o, fmt.Errorf("%s: %w", m.Kind, err)
 	}
 	return o, nil
 }
 
-// handle carries out a coordinator's message.
+// handle executes a coordinator's message.
 func (s *switcher) handle(ctx context.Context, m expertswitch.Message) (expertswitch.Reply, error) {
 	reply := expertswitch.Reply{Kind: m.Kind, Ballot: m.Ballot}
-	if err := s.relearn(ctx); err != nil {
+	if err := s.recoverPromise(ctx); err != nil {
 		return reply, err
 	}
 	if m.Kind == expertswitch.KindStage {
-		if err := s.fetch(ctx, m); err != nil {
+		if err := s.loadWeights(ctx, m); err != nil {
 			return reply, err
 		}
 	}
-	err := s.obey(ctx, m)
+	err := s.execute(ctx, m)
 	var refused services.ErrRefused
 	var old expertswitch.ErrOldBallot
 	if err != nil && !errors.As(err, &refused) && !errors.As(err, &old) {
@@ -147,19 +149,19 @@
 		reply.Reason = err.Error()
 	}
 	s.mu.Lock()
-	reply.Promised = s.part.Promised()
+	reply.Promised = s.participant.Promised()
 	s.mu.Unlock()
 	s.a.ring.Add(clock.Now(), timeline.Event{Kind: timeline.KindMap, Name: string(m.Kind), Group: string(m.Group), Detail: fmt.Sprintf("ballot=%d step=%d ok=%t %s", m.Ballot, m.Step, reply.OK, reply.Reason)})
 	if reply.State, err = s.a.engine.State(ctx); err != nil {
-		return reply, fmt.Errorf("ask own engine: %w", err)
+		return reply, fmt.Errorf("query own engine: %w", err)
 	}
 	return reply, nil
 }
 
-// obey admits a message and gives its order before anything else is admitted.
-func (s *switcher) obey(ctx context.Context, m expertswitch.Message) error {
-	s.orders.Lock()
-	defer s.orders.Unlock()
+// execute admits a message and sends its order before the next message is admitted.
+func (s *switcher) execute(ctx context.Context, m expertswitch.Message) error {
+	s.orderMu.Lock()
+	defer s.orderMu.Unlock()
 	o, err := s.admit(m)
 	if err != nil {
 		return err
@@ -172,19 +174,19 @@
 	return nil
 }
 
-// fetch brings the weights that a map needs beyond those in use.
-func (s *switcher) fetch(ctx context.Context, m expertswitch.Message) error {
+// loadWeights loads the weights of the experts that a map adds to this rank.
+func (s *switcher) loadWeights(ctx context.Context, m expertswitch.Message) error {
 	if _, err := s.admit(m); err != nil {
-		// The coordinator learns it from obey.
+		// execute reports the refusal to the coordinator.
 		return nil //nolint:nilerr // reported by the caller's own admission
 	}
 	_, rank, ok := s.myGroup()
 	if !ok {
-		return fmt.Errorf("no group: %w", errRecovering)
+		return fmt.Errorf("upstream is in no group: %w", errRecovering)
 	}
 	now, err := s.a.engine.Map(ctx)
 	if err != nil {
-		return fmt.Errorf("ask own engine: %w", err)
+		return fmt.Errorf("query own engine: %w", err)
 	}
 	n := int64(m.Map.Loads(now, int(rank)))
 	if n == 0 {
@@ -193,20 +195,21 @@
 	if err := s.weights.Fetch(ctx, s.a.self.Upstream, n*s.a.set.Upstream.ExpertBytes); err != nil {
 		return fmt.Errorf("fetch %d experts: %w", n, err)
 	}
-	s.a.moved.Add(n)
+	s.a.loadedExperts.Add(n)
 	return nil
 }
 
-// Switch carries out a coordinator's message.
+// Switch executes a coordinator's message.
 func (p *API) Switch(m expertswitch.Message, r *expertswitch.Reply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), stageLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), stageTimeout)
 	defer cancel()
 	reply, err := p.a.switcher.handle(ctx, m)
 	*r = reply
 	return err
 }
 
-// Promised returns the highest ballot that this rank or its engine knows.
+// Promised returns the highest ballot that this agent has promised or that is the fence of its
+// engine.
 func (p *API) Promised(_ directory.Nothing, b *expertswitch.Ballot) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -215,7 +218,7 @@
 	return err
 }
 
-// EngineState returns what the engine of this rank tells about itself.
+// EngineState returns the latest state that the engine of this rank has reported.
 func (p *API) EngineState(_ directory.Nothing, st *services.EngineState) error {
 	l := p.a.load.Load()
 	if l == nil || !l.known {
@@ -225,11 +228,11 @@
 	return nil
 }
 
-// mapOf returns the map of a group as its engine has it.
-func (s *switcher) mapOf(ctx context.Context) (*expertmap.Map, error) {
+// engineMap returns the expert map in use at the agent's own engine.
+func (s *switcher) engineMap(ctx context.Context) (*expertmap.Map, error) {
 	m, err := s.a.engine.Map(ctx)
 	if err != nil {
-		return nil, fmt.Errorf("ask own engine: %w", err)
+		return nil, fmt.Errorf("query own engine: %w", err)
 	}
 	return m, nil
 }
--- a/services/agent/upstream.go
+++ b/services/agent/upstream.go
@@ -17,12 +17,13 @@
 )
 
 const (
-	// watchInterval is the time between two looks at the upstream.
-	watchInterval = 100 * time.Millisecond
-	// watchTimeout bounds one look.
-	watchTimeout = time.Second
-	// downAfter is the number of failed looks after which the upstream counts as down.
-	downAfter = 3
+	// probeUpstreamInterval is the time between two probes of the upstream.
+	probeUpstreamInterval = 100 * time.Millisecond
+	// probeUpstreamTimeout bounds one probe.
+	probeUpstreamTimeout = time.Second
+	// maxFailedProbes is the number of consecutive failed probes after which the upstream counts as
+	// down.
+	maxFailedProbes = 3
 )
 
 // engineLoad is the latest state of a model engine.
@@ -40,19 +41,19 @@
 	l.Map, l.Skew = uint64(e.state.Map), e.state.Load
 }
 
-// watchUpstream keeps the upstream's state and load up to date until ctx ends.
-func (a *Agent) watchUpstream(ctx context.Context) {
-	ticker := time.NewTicker(watchInterval)
+// watchUpstreamState keeps the upstream's state and load up to date until ctx ends.
+func (a *Agent) watchUpstreamState(ctx context.Context) {
+	ticker := time.NewTicker(probeUpstreamInterval)
 	defer ticker.Stop()
 	failed := 0
 	for {
-		if a.look(ctx) {
+		if a.probeUpstream(ctx) {
 			failed = 0
 		} else {
 			failed++
 		}
-		if failed == 0 || failed >= downAfter {
-			a.setUpstream(clock.Now(), failed == 0)
+		if failed == 0 || failed >= maxFailedProbes {
+			a.setUpstreamState(clock.Now(), failed == 0)
 		}
 		select {
 		case <-ctx.Done():
@@ -62,8 +63,8 @@
 	}
 }
 
-func (a *Agent) look(ctx context.Context) bool {
-	lctx, cancel := context.WithTimeout(ctx, watchTimeout)
+func (a *Agent) probeUpstream(ctx context.Context) bool {
+	lctx, cancel := context.WithTimeout(ctx, probeUpstreamTimeout)
 	defer cancel()
 	if a.set.Upstream.Kind == service.KindModel {
 		s, err := a.engine.State(lctx)
@@ -85,7 +86,7 @@
 	return true
 }
 
-func (a *Agent) setUpstream(now time.Time, up bool) {
+func (a *Agent) setUpstreamState(now time.Time, up bool) {
 	next := upstream.StateReady
 	if !up {
 		next = upstream.StateDown
@@ -93,6 +94,6 @@
 	if old := a.state.Swap(next); old != next {
 		a.ring.Add(now, timeline.Event{Kind: timeline.KindFault, Name: "upstream-" + string(next)})
 		a.logger.Info().Str("state", string(next)).Msg("upstream changed")
-		a.links.nudge()
+		a.links.wakeUp()
 	}
 }
