--- a/services/agent/agent.go
+++ b/services/agent/agent.go
@@ -162,9 +162,10 @@
 	return s
 }
 
-// Asked applies the routers' requests to leave, which follow from the platform's list and the
-// configuration. The upstream leaves while any router requests it and returns when none does.
-func (a *Agent) Asked(now time.Time, leave bool) {
+// ApplyLeaveRequest applies the routers' requests to leave, which follow from the platform's list
+// and the configuration. The upstream leaves while any router requests it and returns when none
+// does.
+func (a *Agent) ApplyLeaveRequest(now time.Time, leave bool) {
 	if leave {
 		a.leave(now, "platform or configuration")
 		return
--- a/services/agent/links.go
+++ b/services/agent/links.go
@@ -175,7 +175,7 @@
 	k.pulling = k.pulling || pull
 	l.mu.Unlock()
 	l.a.ring.Clock.Observe(now, r.Stamp)
-	l.a.Asked(now, leave)
+	l.a.ApplyLeaveRequest(now, leave)
 	if pull {
 		l.pullConfig(ctx, address, k)
 	}
--- a/services/configlog/follower.go
+++ b/services/configlog/follower.go
@@ -265,10 +265,10 @@
 	return f.core.Outcome(id)
 }
 
-// KeepAlive appends a checkpoint to the log when one is due, before the records that hold the
-// configuration expire. The routerIndex is its index among the live routers; othersAnchored
+// AppendDueCheckpoint appends a checkpoint to the log when one is due, before the records that hold
+// the configuration expire. The routerIndex is its index among the live routers; othersAnchored
 // reports whether any other router has an exact state.
-func (f *Follower) KeepAlive(ctx context.Context, now time.Time, retention time.Duration, routerIndex int, othersAnchored bool) error {
+func (f *Follower) AppendDueCheckpoint(ctx context.Context, now time.Time, retention time.Duration, routerIndex int, othersAnchored bool) error {
 	f.mu.Lock()
 	var rec *intent.Record
 	if f.core.CheckpointDue(now, retention, routerIndex) {
--- a/services/directory/beat.go
+++ b/services/directory/beat.go
@@ -59,7 +59,7 @@
 	cctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	d.mu.Lock()
-	b.Agents = d.outbox.For(clock.Now(), address, d.table)
+	b.Agents = d.outbox.Message(clock.Now(), address, d.table)
 	b.Known = d.knownListOf(address, clock.Now())
 	d.mu.Unlock()
 	var r membership.RouterReply
@@ -78,8 +78,8 @@
 	if len(r.Routers) > 0 {
 		d.peerLists[address] = routerList{fingerprint: r.Lists, at: now}
 	}
-	d.routers.Hint(now, r.Routers)
-	d.routers.Beat(now, membership.RouterBeat{Info: r.Info, Revision: r.Revision, Anchored: r.Anchored, LogAge: r.LogAge})
+	d.routers.AddAddresses(now, r.Routers)
+	d.routers.ApplyBeat(now, membership.RouterBeat{Info: r.Info, Revision: r.Revision, Anchored: r.Anchored, LogAge: r.LogAge})
 	needFloors := !d.floorsKnown
 	d.mu.Unlock()
 	if needFloors {
@@ -156,7 +156,7 @@
 	state := d.opts.Follower.State()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	nonce := d.table.Beat(now, b)
+	nonce := d.table.ApplyBeat(now, b)
 	for sl, e := range b.Owned {
 		d.register.Raise(once.SliceKey{Service: b.Service, Slice: sl}, e)
 	}
@@ -169,8 +169,8 @@
 	}
 	known, _ := d.table.Entry(now, b.Upstream)
 	reply := membership.Reply{
-		Nonce: nonce, Revision: state.Revision, Leave: closed || d.table.Leave(known.Beat.RPC),
-		Have: d.table.Have(b.Upstream), Stamp: d.opts.Ring.Clock.Now(now),
+		Nonce: nonce, Revision: state.Revision, Leave: closed || d.table.ListedLeaving(known.Beat.RPC),
+		Have: d.table.FullFingerprint(b.Upstream), Stamp: d.opts.Ring.Clock.Now(now),
 	}
 	l := d.listsFor(now, b.Service)
 	if reply.Lists = l.fingerprint; reply.Lists != b.Known {
@@ -216,8 +216,8 @@
 	d.opts.Ring.Clock.Observe(now, b.Stamp)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.routers.Beat(now, b)
-	d.table.Told(now, b.Leaving)
+	d.routers.ApplyBeat(now, b)
+	d.table.ApplyLeaving(now, b.Leaving)
 	d.applyRelay(now, b.Info.Incarnation, b.Agents)
 	mine := d.routerBeat(now)
 	live := d.routers.Live(now)
@@ -233,7 +233,7 @@
 
 // applyRelay merges another router's gossip about its agents. The caller holds the lock.
 func (d *Directory) applyRelay(now time.Time, from string, m membership.Relay) {
-	for _, id := range d.table.Relay(now, from, m) {
+	for _, id := range d.table.ApplyRelay(now, from, m) {
 		e, ok := d.table.Entry(now, id)
 		if !ok {
 			continue
--- a/services/directory/directory.go
+++ b/services/directory/directory.go
@@ -115,8 +115,8 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.table.VMs(list)
-	d.routers.VMs(clock.Now(), list)
+	d.table.SetVMs(list)
+	d.routers.SetVMs(clock.Now(), list)
 }
 
 // maintain expires old entries and keeps the configuration in the log by checkpoints.
@@ -137,7 +137,7 @@
 			routerIndex = i
 		}
 	}
-	if err := d.opts.Follower.KeepAlive(ctx, now, d.opts.Retention, routerIndex, anchored); err != nil {
+	if err := d.opts.Follower.AppendDueCheckpoint(ctx, now, d.opts.Retention, routerIndex, anchored); err != nil {
 		d.opts.Logger.Debug().Err(err).Msg("checkpoint failed")
 	}
 }
@@ -247,7 +247,7 @@
 func (d *Directory) Gone(e membership.Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.table.Gone(clock.Now(), e.Beat.Upstream, e.Beat.Incarnation)
+	d.table.MarkUnreachable(clock.Now(), e.Beat.Upstream, e.Beat.Incarnation)
 }
 
 // ErrNoOwner reports a slice without a live owner.
--- a/services/directory/directory_test.go
+++ b/services/directory/directory_test.go
@@ -35,8 +35,8 @@
 			d := New(Options{Interval: membership.Interval(400 * time.Millisecond), Tracker: routing.Options{}})
 			for _, id := range c.beats {
 				b := membership.Beat{Upstream: id, Incarnation: "1", Service: "ledger", State: upstream.StateReady, RPC: "10.0.0.1:1"}
-				b.Echo = d.table.Beat(now, b)
-				d.table.Beat(now, b)
+				b.Echo = d.table.ApplyBeat(now, b)
+				d.table.ApplyBeat(now, b)
 			}
 			if got := d.hasUpstreams(now, in); got != c.want {
 				t.Errorf("serves: %t, want %t", got, c.want)
--- a/services/membership/message.go
+++ b/services/membership/message.go
@@ -32,9 +32,9 @@
 // work.
 func (i Interval) Suspect() time.Duration { return 5 * time.Duration(i) }
 
-// Proved returns the maximum age of an agent's last proof of liveness at which a router reports it
-// to other routers as alive.
-func (i Interval) Proved() time.Duration { return 2 * time.Duration(i) }
+// ProofMaxAge returns the maximum age of an agent's last proof of liveness at which a router
+// reports it to other routers as alive.
+func (i Interval) ProofMaxAge() time.Duration { return 2 * time.Duration(i) }
 
 // ForgetAfter is how long a process without heartbeats is kept in the tables.
 const ForgetAfter = 10 * time.Minute
--- a/services/membership/relay.go
+++ b/services/membership/relay.go
@@ -41,7 +41,7 @@
 	Full  []Digest
 	Loads []LoadDigest
 	// Silent lists agents that were reported before and have sent no proof of liveness within
-	// Interval.Proved.
+	// Interval.ProofMaxAge.
 	Silent []upstream.ID
 }
 
@@ -85,8 +85,8 @@
 // Forget drops the record of a peer that did not answer or has restarted.
 func (o *Outbox) Forget(peer string) { delete(o.peers, peer) }
 
-// For builds the message for a peer about the agents that send heartbeats to this router.
-func (o *Outbox) For(now time.Time, peer string, t *Table) Relay {
+// Message builds the message for a peer about the agents that send heartbeats to this router.
+func (o *Outbox) Message(now time.Time, peer string, t *Table) Relay {
 	p, ok := o.peers[peer]
 	if !ok {
 		p = &peerRecord{agents: map[upstream.ID]sentDigest{}}
@@ -97,7 +97,7 @@
 	for id, r := range t.agents {
 		age := now.Sub(r.provedAt)
 		last, reported := p.agents[id]
-		if r.provedAt.IsZero() || age > t.interval.Proved() {
+		if r.provedAt.IsZero() || age > t.interval.ProofMaxAge() {
 			if reported {
 				out.Silent = append(out.Silent, id)
 				delete(p.agents, id)
@@ -142,8 +142,8 @@
 	}
 }
 
-// Relay merges the gossip of another router and returns the upstreams whose load was updated.
-func (t *Table) Relay(now time.Time, from string, m Relay) []upstream.ID {
+// ApplyRelay merges the gossip of another router and returns the upstreams whose load was updated.
+func (t *Table) ApplyRelay(now time.Time, from string, m Relay) []upstream.ID {
 	reported, ok := t.reportedBy[from]
 	if !ok || m.Reset {
 		reported = map[upstream.ID]upstream.Incarnation{}
@@ -169,7 +169,7 @@
 	}
 	for id, incarnation := range reported {
 		if r, ok := t.agents[id]; ok && r.beat.Incarnation == incarnation {
-			r.recordAlive(now.Add(-t.interval.Proved()))
+			r.recordAlive(now.Add(-t.interval.ProofMaxAge()))
 		}
 	}
 	return updated
--- a/services/membership/relay_test.go
+++ b/services/membership/relay_test.go
@@ -17,11 +17,11 @@
 	seq, echo := uint64(0), uint64(0)
 	beat := func(now time.Time, state upstream.State, load int) {
 		seq++
-		echo = home.Beat(now, Beat{Upstream: id, Incarnation: "1", Seq: seq, State: state, Echo: echo, Load: Load{InFlight: load}})
+		echo = home.ApplyBeat(now, Beat{Upstream: id, Incarnation: "1", Seq: seq, State: state, Echo: echo, Load: Load{InFlight: load}})
 	}
 	relay := func(now time.Time) Relay {
-		m := out.For(now, "other", home)
-		other.Relay(now, "home", m)
+		m := out.Message(now, "other", home)
+		other.ApplyRelay(now, "home", m)
 		return m
 	}
 	check := func(now time.Time, what string, suspect, leaving bool, load int) {
@@ -64,7 +64,7 @@
 	// The message that lists the agent as silent is lost.
 	for range 3 {
 		now = now.Add(testInterval.Beat())
-		out.For(now, "other", home)
+		out.Message(now, "other", home)
 	}
 	out.Forget("other")
 	for range 10 {
@@ -96,19 +96,19 @@
 func TestBrief(t *testing.T) {
 	full := Beat{Upstream: "u", Incarnation: "1", Service: "s", Seq: 1, RPC: "10.0.0.1:1", State: upstream.StateReady}
 	known, fresh := NewTable(testInterval), NewTable(testInterval)
-	echo := known.Beat(start, full)
+	echo := known.ApplyBeat(start, full)
 	next := full
 	next.Seq, next.Echo, next.Load.InFlight = 2, echo, 7
-	if known.Have("u") != next.Fingerprint() {
+	if known.FullFingerprint("u") != next.Fingerprint() {
 		t.Error("the router does not report the fingerprint of the full heartbeat")
 	}
-	known.Beat(start, next.Shorten())
+	known.ApplyBeat(start, next.Shorten())
 	e, _ := known.Entry(start, "u")
 	if e.Suspect || e.Beat.RPC != full.RPC || e.Beat.State != upstream.StateReady || e.Beat.Load.InFlight != 7 || e.Beat.Seq != 2 {
 		t.Errorf("after a brief heartbeat: %+v", e)
 	}
-	fresh.Beat(start, next.Shorten())
-	if fresh.Have("u") != 0 {
+	fresh.ApplyBeat(start, next.Shorten())
+	if fresh.FullFingerprint("u") != 0 {
 		t.Error("a router with only a brief heartbeat does not request a full one")
 	}
 }
--- a/services/membership/routers.go
+++ b/services/membership/routers.go
@@ -58,8 +58,8 @@
 // addressTTL is how long a learned address is called without an answer.
 const addressTTL = 10 * time.Second
 
-// VMs applies the platform's list: a silent router that is not in it is dead.
-func (r *Routers) VMs(now time.Time, list []vm.VM) {
+// SetVMs applies the platform's list: a silent router that is not in it is dead.
+func (r *Routers) SetVMs(now time.Time, list []vm.VM) {
 	listed := map[string]bool{}
 	for _, v := range list {
 		if v.Role == vm.RoleRouter {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Beat applies the heartbeat of a router.
-func (r *Routers) Beat(now time.Time, b RouterBeat) {
+// ApplyBeat applies the heartbeat of a router.
+func (r *Routers) ApplyBeat(now time.Time, b RouterBeat) {
 	if b.Info.Incarnation == r.self.Incarnation {
 		return
 	}
@@ -113,8 +113,8 @@
 	}
 }
 
-// Hint adds addresses of routers that another router has reported.
-func (r *Routers) Hint(now time.Time, infos []RouterInfo) {
+// AddAddresses adds addresses of routers that another router has reported.
+func (r *Routers) AddAddresses(now time.Time, infos []RouterInfo) {
 	for _, i := range infos {
 		if i.RPC != r.self.RPC {
 			r.addresses[i.RPC] = now.Add(addressTTL)
--- a/services/membership/table.go
+++ b/services/membership/table.go
@@ -79,9 +79,9 @@
 	return &Table{interval: i, agents: map[upstream.ID]*record{}, vms: map[string]vm.State{}, reportedLeaving: map[upstream.ID]time.Time{}, reportedBy: map[string]map[upstream.ID]upstream.Incarnation{}}
 }
 
-// Beat applies a heartbeat and returns the nonce that the next one must echo. A heartbeat of an
-// earlier incarnation is ignored while a later one is alive.
-func (t *Table) Beat(now time.Time, b Beat) uint64 {
+// ApplyBeat applies a heartbeat and returns the nonce that the next one must echo. A heartbeat of
+// an earlier incarnation is ignored while a later one is alive.
+func (t *Table) ApplyBeat(now time.Time, b Beat) uint64 {
 	r, ok := t.agents[b.Upstream]
 	if ok && b.Incarnation < r.beat.Incarnation && now.Sub(r.lastBeat) < t.interval.Suspect() {
 		return 0
@@ -114,8 +114,8 @@
 	return full
 }
 
-// Have returns the fingerprint of the latest full heartbeat of an agent, or 0.
-func (t *Table) Have(id upstream.ID) uint64 {
+// FullFingerprint returns the fingerprint of the latest full heartbeat of an agent, or 0.
+func (t *Table) FullFingerprint(id upstream.ID) uint64 {
 	r, ok := t.agents[id]
 	if !ok || r.beat.RPC == "" {
 		return 0
@@ -141,24 +141,24 @@
 	})
 }
 
-// VMs applies the platform's list.
-func (t *Table) VMs(list []vm.VM) {
+// SetVMs applies the platform's list.
+func (t *Table) SetVMs(list []vm.VM) {
 	t.vms = make(map[string]vm.State, len(list))
 	for _, v := range list {
 		t.vms[v.RPC] = v.State
 	}
 }
 
-// Told applies another router's report of leaving upstreams.
-func (t *Table) Told(now time.Time, ids []upstream.ID) {
+// ApplyLeaving applies another router's report of leaving upstreams.
+func (t *Table) ApplyLeaving(now time.Time, ids []upstream.ID) {
 	for _, id := range ids {
 		t.reportedLeaving[id] = now.Add(leavingReportTTL)
 	}
 }
 
-// Gone records that the agent of an upstream is unreachable. It is suspect until its next proof of
-// liveness.
-func (t *Table) Gone(now time.Time, id upstream.ID, inc upstream.Incarnation) {
+// MarkUnreachable records that the agent of an upstream is unreachable. It is suspect until its
+// next proof of liveness.
+func (t *Table) MarkUnreachable(now time.Time, id upstream.ID, inc upstream.Incarnation) {
 	if r, ok := t.agents[id]; ok && r.beat.Incarnation == inc {
 		r.unreachableAt = now
 	}
@@ -176,8 +176,8 @@
 	return e, true
 }
 
-// Leave reports whether the platform's list marks the VM of an agent as leaving.
-func (t *Table) Leave(rpc string) bool { return t.vms[rpc] == vm.StateLeaving }
+// ListedLeaving reports whether the platform's list marks the VM of an agent as leaving.
+func (t *Table) ListedLeaving(rpc string) bool { return t.vms[rpc] == vm.StateLeaving }
 
 // LeavingHere returns the upstreams that are leaving by their own report or by the platform's list,
 // without those reported by other routers.
