--- a/cmd/demo.go
+++ b/cmd/demo.go
@@ -30,7 +30,8 @@
 	"go.uber.org/fx"
 )
 
-// Numbers of processes in the demo, and its operator token.
+// Numbers of processes in the demo, and the operator's bearer token. Each group has demoRanks
+// ranks, and the plain service has demoReplicas replicas.
 const (
 	demoRouters  = 3
 	demoGroups   = 2
@@ -67,11 +68,14 @@
 type demo struct {
 	logs     io.Writer
 	platform string
-	plains   []*upstreamstandin.Plain
-	routers  []string
-	seeds    []string
-	vms      []vm.VM
-	intent   intent.Intent
+	// plains are the replicas of the plain service. Their counts of effects are compared with the
+	// outcomes that the callers received.
+	plains []*upstreamstandin.Plain
+	// routers holds the HTTP addresses of the routers, and seeds their RPC addresses.
+	routers []string
+	seeds   []string
+	vms     []vm.VM
+	intent  intent.Intent
 	// stopAgents, stopRouters and stopOthers hold the functions that stop the processes. The lists
 	// run in this order, the functions of one list concurrently.
 	stopAgents, stopRouters, stopOthers []func()
@@ -152,6 +156,7 @@
 	return sockets{HTTP: h, RPC: r}, err
 }
 
+// serve serves h on a loopback port until the demo stops, and returns the address.
 func (d *demo) serve(h http.Handler) (string, error) {
 	l, err := listenLoopback()
 	if err != nil {
@@ -199,6 +204,7 @@
 	return nil
 }
 
+// startApp starts a process and returns the function that stops it.
 func startApp(ctx context.Context, o fx.Option) (func(), error) {
 	app := fx.New(o)
 	if err := app.Err(); err != nil {
@@ -214,6 +220,7 @@
 	}, nil
 }
 
+// startAgent starts the agent of one upstream, whose address is given, and adds it to the VM list.
 func (d *demo) startAgent(ctx context.Context, id upstream.ID, sv service.ID, kind service.Kind, centre vm.DataCentre, address string) error {
 	ss, err := listenLoopbackSockets()
 	if err != nil {
@@ -232,6 +239,8 @@
 	return nil
 }
 
+// startGroups starts the model groups with an agent for each rank, and adds their service to the
+// intent.
 func (d *demo) startGroups(ctx context.Context) error {
 	sv := service.Service{ID: "kotoba-pool", Kind: service.KindModel, Shares: demoAccounts}
 	for i := range demoGroups {
@@ -261,6 +270,8 @@
 	return nil
 }
 
+// startPlain starts the replicas of the plain service with an agent for each, and adds the service
+// to the intent. Its holds must not be repeated: the stand-in applies a hold each time it arrives.
 func (d *demo) startPlain(ctx context.Context) error {
 	sv := service.Service{
 		ID: "ledger-api", Kind: service.KindPlain, Shares: demoAccounts,
--- a/cmd/platform.go
+++ b/cmd/platform.go
@@ -123,7 +123,8 @@
 	})
 }
 
-// runEvery calls f at an interval while the process runs.
+// runEvery calls f at an interval while the process runs. If the process stops between two calls, f
+// is called once more at that time.
 func runEvery(lc fx.Lifecycle, interval time.Duration, f func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
--- a/cmd/reload.go
+++ b/cmd/reload.go
@@ -68,13 +68,15 @@
 	})
 }
 
+// run reloads the settings on each signal, even if the file has not changed, and when a check finds
+// that it has.
 func (r *reloader) run(done <-chan struct{}, logger zerolog.Logger) {
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-r.signals:
-			r.changed()
+			r.changed() // records the content, so that the next check does not reload it again
 			r.reload(logger)
 		case <-tick.C:
 			if r.changed() {
--- a/cmd/root.go
+++ b/cmd/root.go
@@ -17,8 +17,10 @@
 
 // Exit codes.
 const (
-	exitOK      = 0
-	exitFailed  = 1
+	exitOK     = 0
+	exitFailed = 1
+	// exitChanges means that a command succeeded and that its result needs attention: a plan has
+	// changes, or a status lists ranks that have not reported.
 	exitChanges = 2
 )
 
@@ -27,7 +29,8 @@
 
 func (e errExit) Error() string { return fmt.Sprintf("exit code %d", e.code) }
 
-// Execute runs the command line and returns the exit code.
+// Execute runs the command line and returns the exit code. SIGINT and SIGTERM cancel the context of
+// the command.
 func Execute(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -48,6 +51,8 @@
 	}
 }
 
+// newRoot returns the root command with its subcommands. Cobra prints neither errors nor the usage
+// after them: Execute prints the errors.
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "fawnwinch",
--- a/contrib/compare/picture.go
+++ b/contrib/compare/picture.go
@@ -12,7 +12,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// drawPlot draws the mean difference of each variant at each site.
+// drawPlot draws the mean difference in worth from the base, with a row for each variant and a
+// point for each site.
 func drawPlot(file string, t *trial, list []comparison) error {
 	p := plot.New()
 	p.X.Label.Text = "difference in worth against " + string(t.Base)
@@ -36,8 +37,9 @@
 		p.Legend.Add(site, scatter)
 	}
 	p.Add(plotter.NewGrid())
-	const line = 0.8 * vg.Centimeter
-	if err := p.Save(20*vg.Centimeter, vg.Length(len(list)+5)*line, file); err != nil {
+	// Five more rows leave room for the axis, its label and the legend.
+	const rowHeight = 0.8 * vg.Centimeter
+	if err := p.Save(20*vg.Centimeter, vg.Length(len(list)+5)*rowHeight, file); err != nil {
 		return fmt.Errorf("save plot: %w", err)
 	}
 	return nil
--- a/models/intent/intent.go
+++ b/models/intent/intent.go
@@ -40,7 +40,7 @@
 // FormatVersion is the version of the intent format this program reads.
 const FormatVersion = 1
 
-// MaxSize is the largest intent document, in bytes.
+// MaxSize is the largest size of an intent document, in bytes.
 const MaxSize = 1 << 20
 
 // Rebalance controls how expert maps may change.
@@ -73,7 +73,8 @@
 
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
-// Parse reads an intent from strict YAML: unknown keys are errors.
+// Parse reads an intent from strict YAML, in which unknown keys are errors, and validates it with
+// Check.
 func Parse(raw []byte) (*Intent, error) {
 	if len(raw) > MaxSize {
 		return nil, ErrInvalid{Field: "document", Value: fmt.Sprintf("%d bytes", len(raw)), Reason: fmt.Sprintf("is larger than %d bytes", MaxSize)}
--- a/modules/httpconn/conn.go
+++ b/modules/httpconn/conn.go
@@ -136,7 +136,11 @@
 func (c *Conn) Close() { _ = c.conn.Close() }
 
 // isIdle reports whether the connection is open and nothing has arrived on it since the last
-// answer: unsolicited bytes belong to no request.
+// answer. Bytes that arrive before the next request is sent would be mistaken for its answer.
+//
+// It reads one byte without blocking. Only EAGAIN means an idle connection: the peer's close is
+// read as the end of the stream. The byte is lost, so the caller must close a connection that is
+// not idle.
 func (c *Conn) isIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -160,9 +164,9 @@
 }
 
 // Reusable reports whether the connection may carry another request, provided that the answer was
-// read to its end and the request was sent completely: neither side wants to close. Rest is how
-// long the connection may stay idle.
-func Reusable(resp *http.Response) (rest time.Duration, ok bool) {
+// read to its end and the request was sent completely: neither side wants to close. IdleTime is
+// how long the connection may stay idle.
+func Reusable(resp *http.Response) (idleTime time.Duration, ok bool) {
 	if resp.Close || (resp.ContentLength < 0 && len(resp.TransferEncoding) == 0) {
 		return 0, false
 	}
--- a/modules/metrics/metrics.go
+++ b/modules/metrics/metrics.go
@@ -24,7 +24,8 @@
 	attempts  *prometheus.CounterVec
 }
 
-// New returns the metrics of a process.
+// New returns the metrics of a process. Those registered here have the label process; those added
+// later have only the labels that are passed.
 func New(process string) *Metrics {
 	m := &Metrics{
 		Registry: prometheus.NewRegistry(),
@@ -33,6 +34,7 @@
 		}, []string{"service", "outcome", "reason"}),
 		durations: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "request_duration_seconds", Help: "Time from arrival to the end of the answer.",
+			// From 1 ms to 32.8 s, each bound twice the one before.
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 16),
 		}, []string{"service"}),
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/modules/rpc/rpc.go
+++ b/modules/rpc/rpc.go
@@ -267,10 +267,12 @@
 	s.done.Wait()
 }
 
+// countingConn counts the bytes of a connection in stats.
 type countingConn struct {
 	net.Conn
 	stats *Stats
-	// lastReceived is set to when bytes last arrived, in Unix nanoseconds; nil if it is not needed.
+	// lastReceived is set to the time at which bytes last arrived, in Unix nanoseconds. It is nil
+	// at a server, which does not check whether its peers are silent.
 	lastReceived *atomic.Int64
 }
 
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -102,7 +102,8 @@
 
 // Once holds the settings for requests that may not be repeated.
 type Once struct {
-	// Lifetime is how long a key is remembered; at most the log's retention.
+	// Lifetime is how long a key is remembered. It is at most the log's retention, since a new
+	// owner restores the keys from the log.
 	Lifetime time.Duration `yaml:"lifetime" validate:"omitempty,min=1s"`
 	// Batch is the minimum time between two journal appends of this agent.
 	Batch time.Duration `yaml:"batch" validate:"omitempty,min=1ms,max=10s"`
@@ -124,10 +125,13 @@
 
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
-// DefaultHeartbeat suits the size of current deployments.
+// DefaultHeartbeat is the default heartbeat interval, chosen for the size of current deployments.
+// With it, a process that sends no heartbeat receives no new work after 2 s (five intervals).
 const DefaultHeartbeat = 400 * time.Millisecond
 
-// DefaultRouter returns the defaults of the settings that a file may omit.
+// DefaultRouter returns the settings of a router with the defaults for what a file may omit. By
+// default, retries are at most a tenth of the answered requests, and at most half of a service's
+// groups are ejected for slowness.
 func DefaultRouter() Router {
 	return Router{
 		Process:    Process{LogLevel: "info", Heartbeat: DefaultHeartbeat},
@@ -138,7 +142,7 @@
 	}
 }
 
-// DefaultAgent returns the defaults of the settings that a file may omit.
+// DefaultAgent returns the settings of an agent with the defaults for what a file may omit.
 func DefaultAgent() Agent {
 	return Agent{
 		Process:  Process{LogLevel: "info", Heartbeat: DefaultHeartbeat},
@@ -155,7 +159,8 @@
 	return s, err
 }
 
-// LoadAgent reads the settings of an agent from a file.
+// LoadAgent reads the settings of an agent from a file. It also checks that the lifetime of keys is
+// at most the log's retention.
 func LoadAgent(path string) (Agent, error) {
 	s := DefaultAgent()
 	if err := Load(path, &s); err != nil {
--- a/standin/metastore/metastore.go
+++ b/standin/metastore/metastore.go
@@ -268,7 +268,8 @@
 }
 
 // read returns an answer with the records from an offset on. If there are none, it waits for them
-// first.
+// for at most the waitMs of the query. The status is 410 if the offset was trimmed or lies beyond
+// the end of the stream.
 func (s *Store) read(ctx context.Context, topic string, q map[string][]string) answer {
 	number := func(name string) int {
 		if len(q[name]) == 0 {
@@ -302,6 +303,8 @@
 	}
 }
 
+// encode returns the body of an answer to a read: the end of the stream, the first offset kept, and
+// each record after its length.
 func encode(first, end int, records [][]byte) []byte {
 	out := binary.BigEndian.AppendUint64(nil, uint64(end))  //nolint:gosec // offsets are not negative
 	out = binary.BigEndian.AppendUint64(out, uint64(first)) //nolint:gosec // offsets are not negative
--- a/standin/rankgroup/orders.go
+++ b/standin/rankgroup/orders.go
@@ -80,7 +80,8 @@
 	return map[string]any{"map": map[string]any{"version": r.version, "experts": experts}}
 }
 
-// loseAnswer reports whether the order gets no answer. Such an order is applied after Trouble.Late.
+// loseAnswer decides at random, by Trouble.Lost, whether an order gets no answer. If so, the order
+// is applied after Trouble.Late, as if the network had delayed it.
 func (g *Group) loseAnswer(n int, o order) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
