--- a/tests/soak/caller_test.go
+++ b/tests/soak/caller_test.go
@@ -19,10 +19,9 @@
 // callerCount is the number of callers, each with one request at a time.
 const callerCount = 12
 
-// kind is what a call asks for.
+// kind is the kind of a call; except for kindProbe it is also the name of the route.
 type kind string
 
-// The kinds of call.
 const (
 	kindUnsafe kind = "peek"
 	kindSafe   kind = "view"
@@ -34,55 +33,58 @@
 type call struct {
 	id, key, path string
 	kind          kind
-	// version is that of a call of kindProbe, and keyVersion that whose key the call has; 0 for the key that stays.
+	// version is the configuration version that a call of kindProbe tests. keyVersion is the
+	// version whose key the call uses; 0 for the permanent key.
 	version, keyVersion int
 	router              *router
-	// start is that of the router when the call was sent.
-	start      int
-	sent, over time.Time
-	// left says that the caller leaves early.
-	left   bool
-	status int
-	err    error
-	// ran holds the replicas that ran it, and answered says that one of them has sent its whole answer.
-	ran      []*replica
+	// start is the number of restarts of the router when the call was sent.
+	start         int
+	sent, endedAt time.Time
+	// leavesEarly reports whether the caller disconnects early.
+	leavesEarly bool
+	status      int
+	err         error
+	// ranAt holds the replicas that ran the call, and answered reports whether one of them sent its
+	// complete answer.
+	ranAt    []*replica
 	answered bool
-	// from is the replica whose answer was passed on; limited and leaving are what it said of itself.
+	// from is the replica whose answer was passed on; limited and leaving are what that replica
+	// reported about itself.
 	from             string
 	limited, leaving bool
 }
 
-// notRun are the statuses that say that a request has not run and will not.
+// notRun holds the statuses that mean that a request has not run and will not run.
 var notRun = map[int]bool{http.StatusServiceUnavailable: true, http.StatusTooManyRequests: true, http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true}
 
-// caller asks routers again and again until ctx ends.
+// caller sends calls to routers until ctx ends.
 func (w *world) caller(ctx context.Context, n int) {
-	chance := w.chance(1000 + uint64(n))
+	rng := w.newRand(1000 + uint64(n))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
 	var known []*router
 	var until time.Time
 	for i := 0; ctx.Err() == nil; i++ {
 		if time.Now().After(until) || len(known) == 0 {
-			known = w.resolve(ctx, chance)
+			known = w.resolve(ctx, rng)
 			until = time.Now().Add(time.Second)
 		}
 		if len(known) == 0 {
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		c := w.newCall(chance, fmt.Sprintf("c%d-%d", n, i), known[chance.IntN(len(known))])
-		w.send(ctx, client, chance, c)
-		w.judge(c)
-		time.Sleep(time.Duration(5+chance.IntN(30)) * time.Millisecond)
+		c := w.newCall(rng, fmt.Sprintf("c%d-%d", n, i), known[rng.IntN(len(known))])
+		w.send(ctx, client, rng, c)
+		w.checkCall(c)
+		time.Sleep(time.Duration(5+rng.IntN(30)) * time.Millisecond)
 	}
 	client.CloseIdleConnections()
 }
 
-// resolve asks a router which ones to use.
-func (w *world) resolve(ctx context.Context, chance *rand.Rand) []*router {
+// resolve asks a router which routers to use.
+func (w *world) resolve(ctx context.Context, rng *rand.Rand) []*router {
 	cctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	at := w.routers[chance.IntN(len(w.routers))]
+	at := w.routers[rng.IntN(len(w.routers))]
 	req, err := http.NewRequestWithContext(cctx, http.MethodGet, "http://"+at.directory+"/fawnwinch/resolve?name=h&region=r&zone=a", nil)
 	if err != nil {
 		return nil
@@ -109,22 +111,22 @@
 	return out
 }
 
-// newCall draws what a caller asks for.
-func (w *world) newCall(chance *rand.Rand, id string, r *router) *call {
+// newCall draws the parameters of a call.
+func (w *world) newCall(rng *rand.Rand, id string, r *router) *call {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c := &call{id: id, key: "k", kind: kindSafe, router: r, start: r.starts}
-	switch n := chance.IntN(20); {
+	switch n := rng.IntN(20); {
 	case n < 6:
 		c.kind = kindUnsafe
 	case n < 12:
 		c.kind = kindStream
 	case n == 19:
 		c.kind = kindProbe
-		c.version = w.configs[chance.IntN(len(w.configs))].version
+		c.version = w.configs[rng.IntN(len(w.configs))].version
 	}
-	if chance.IntN(8) == 0 {
-		old := w.configs[max(0, len(w.configs)-1-chance.IntN(2*keptVersions))]
+	if rng.IntN(8) == 0 {
+		old := w.configs[max(0, len(w.configs)-1-rng.IntN(2*keptVersions))]
 		c.key, c.keyVersion = old.key, old.version
 	}
 	c.path = "/" + string(c.kind) + "/x"
@@ -135,14 +137,14 @@
 	return c
 }
 
-// patience is how long callers wait.
-const patience = 4 * time.Second
+// callerTimeout is the deadline that callers set for their calls.
+const callerTimeout = 4 * time.Second
 
-// send sends a call and reads the answer. Some callers leave early.
-func (w *world) send(ctx context.Context, client *http.Client, chance *rand.Rand, c *call) {
-	wait := patience + time.Second
-	if c.left = chance.IntN(25) == 0; c.left {
-		wait = time.Duration(1+chance.IntN(100)) * time.Millisecond
+// send sends a call and reads the answer. Some callers disconnect early.
+func (w *world) send(ctx context.Context, client *http.Client, rng *rand.Rand, c *call) {
+	wait := callerTimeout + time.Second
+	if c.leavesEarly = rng.IntN(25) == 0; c.leavesEarly {
+		wait = time.Duration(1+rng.IntN(100)) * time.Millisecond
 	}
 	cctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), wait)
 	defer cancel()
@@ -151,10 +153,10 @@
 		w.fail("make request: %v", err)
 		return
 	}
-	req.GetBody = nil // the library must not send anything again by itself
+	req.GetBody = nil // the HTTP client must not resend anything on its own
 	req.Host = "h"
 	req.Header.Set("X-Fawnwinch-Request-Id", c.id)
-	req.Header.Set("X-Fawnwinch-Deadline-Ms", fmt.Sprint(patience.Milliseconds()))
+	req.Header.Set("X-Fawnwinch-Deadline-Ms", fmt.Sprint(callerTimeout.Milliseconds()))
 	req.Header.Set("Api-Key", c.key)
 	w.mu.Lock()
 	c.sent = time.Now()
@@ -181,10 +183,11 @@
 	}
 }
 
-// errNotWhole reports a stream that ended without its last event.
-var errNotWhole = errors.New("stream has ended early")
+// errIncompleteStream reports a stream that ended without its last event.
+var errIncompleteStream = errors.New("stream ended without its last event")
 
-// readStream reads a stream: its events come in their order, each once, all of this call, up to the last.
+// readStream reads a stream and checks that its events arrive in order, each once, all of this
+// call, up to the last one.
 func (w *world) readStream(c *call, body io.Reader) error {
 	next := 1
 	for in := bufio.NewScanner(body); ; {
@@ -194,7 +197,7 @@
 				return fmt.Errorf("after event %d: %w", next-1, in.Err())
 			case next != eventsOf(c.id)+1:
 				w.fail("the stream of call %s looks complete after event %d of %d", c.id, next-1, eventsOf(c.id))
-				return errNotWhole
+				return errIncompleteStream
 			}
 			return nil
 		}
@@ -204,7 +207,7 @@
 			continue
 		}
 		if want := fmt.Sprintf("%s/%d", c.id, next); data != want {
-			w.fail("the stream of call %s has event %q where %q is due", c.id, data, want)
+			w.fail("the stream of call %s has event %q, want %q", c.id, data, want)
 		}
 		next++
 	}
--- a/tests/soak/check_test.go
+++ b/tests/soak/check_test.go
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// bond is what a router is bound by because it has passed on a word of a replica, since one of its starts.
-type bond struct {
+// obligation records that a router has passed on a notice of a replica, and must act on it until the
+// router restarts.
+type obligation struct {
 	router *router
 	start  int
-	// at is when the word was passed on, and until the end of a rest.
+	// at is when the notice was passed on, and until the end of a requested back-off.
 	at, until time.Time
 }
 
-// ran notes that a replica runs a request, and checks that it may.
-func (w *world) ran(r *replica, id string, req *http.Request, body []byte) {
+// recordRun records that a replica runs a request, and checks that it may.
+func (w *world) recordRun(r *replica, id string, req *http.Request, body []byte) {
 	w.mu.Lock()
 	c, known := w.calls[id]
 	if !known {
@@ -26,17 +27,17 @@
 		w.fail("%s runs %q, which no caller has sent", r.id, id)
 		return
 	}
-	c.ran = append(c.ran, r)
-	runs, over, status := len(c.ran), !c.over.IsZero(), 0
-	if over {
-		status = c.status // its caller may be about to set it before
+	c.ranAt = append(c.ranAt, r)
+	runs, ended, status := len(c.ranAt), !c.endedAt.IsZero(), 0
+	if ended {
+		status = c.status // before that, the caller may still be writing it
 	}
 	w.mu.Unlock()
 	if c.kind == kindUnsafe && runs > 1 {
-		w.fail("call %s may not be repeated and runs again, at %s", id, r.id)
+		w.fail("call %s must not be repeated but runs again, at %s", id, r.id)
 	}
-	if over && notRun[status] && c.kind != kindStream && c.kind != kindSafe {
-		w.fail("call %s was told %d, not run, and runs at %s", id, status, r.id)
+	if ended && notRun[status] && c.kind != kindStream && c.kind != kindSafe {
+		w.fail("call %s got status %d (not run) but runs at %s", id, status, r.id)
 	}
 	if string(body) != "body of "+id || req.URL.Path != c.path || req.Header.Get("X-Fawnwinch-Tenant-Id") != "seiryu" || req.Header.Get("Api-Key") != "" {
 		w.fail("call %s reaches %s changed: %s, account %q, %d bytes", id, r.id, req.URL.Path, req.Header.Get("X-Fawnwinch-Tenant-Id"), len(body))
@@ -44,13 +45,13 @@
 	if want := map[bool]string{true: "pool", false: "ledger"}[c.kind == kindStream]; r.service != want {
 		w.fail("call %s is for %s and runs at %s of %s", id, want, r.id, r.service)
 	}
-	if at, gone := w.gone(c.keyVersion); c.keyVersion > 0 && gone && c.sent.Sub(at) > revokeTime {
-		w.fail("call %s runs %s after its key was taken away", id, c.sent.Sub(at))
+	if at, removed := w.removedAt(c.keyVersion); c.keyVersion > 0 && removed && c.sent.Sub(at) > revokeTime {
+		w.fail("call %s runs %s after its key was removed", id, c.sent.Sub(at))
 	}
 }
 
-// answered notes that a replica has sent the whole answer to a request.
-func (w *world) answered(id string) {
+// recordAnswer records that a replica has sent the complete answer to a request.
+func (w *world) recordAnswer(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if c, ok := w.calls[id]; ok {
@@ -58,13 +59,14 @@
 	}
 }
 
-// calm reports whether a router and the store were in no trouble for the time of contact before a time, and until another.
-func (w *world) calm(r *router, from, to time.Time) bool {
-	return r.touch.calm(from.Add(-contact), to) && w.storeTouch.calm(from.Add(-contact), to)
+// undisturbed reports whether neither a router nor the store was disturbed from contactTime before
+// from until to.
+func (w *world) undisturbed(r *router, from, to time.Time) bool {
+	return r.disturbances.none(from.Add(-contactTime), to) && w.storeDisturbances.none(from.Add(-contactTime), to)
 }
 
-// arrived checks that a request may still be sent to a replica.
-func (w *world) arrived(r *replica, id string) {
+// checkArrival checks that a request may still be sent to a replica.
+func (w *world) checkArrival(r *replica, id string) {
 	now := time.Now()
 	w.mu.Lock()
 	c, known := w.calls[id]
@@ -75,104 +77,107 @@
 	r.mu.Lock()
 	draining := r.draining
 	r.mu.Unlock()
-	if !draining.IsZero() && now.Sub(draining) > drainTime+late && w.calm(c.router, draining, now) && r.touch.calm(draining, now) {
-		w.fail("call %s reaches %s through %s %s after the store has taken that it leaves", id, r.id, c.router.name, now.Sub(draining))
+	if !draining.IsZero() && now.Sub(draining) > drainTime+tolerance && w.undisturbed(c.router, draining, now) && r.disturbances.none(draining, now) {
+		w.fail("call %s reaches %s through %s %s after the store accepted that it leaves", id, r.id, c.router.name, now.Sub(draining))
 	}
-	if b, ok := w.bond(r, c.router, bondLeaving); ok && c.sent.Sub(b.at) > drainTime+late {
-		w.fail("call %s reaches %s through %s, which has passed on %s before that it leaves", id, r.id, c.router.name, c.sent.Sub(b.at))
+	if b, ok := w.obligation(r, c.router, obligationLeaving); ok && c.sent.Sub(b.at) > drainTime+tolerance {
+		w.fail("call %s reaches %s through %s, which passed on %s earlier that it leaves", id, r.id, c.router.name, c.sent.Sub(b.at))
 	}
-	if n := w.inRest(r, c.router, now); n > restMost {
-		w.fail("call %s is the %dth that reaches %s through %s in a rest that it has asked for", id, n, r.id, c.router.name)
+	if n := w.countBackOffRequest(r, c.router, now); n > maxBackOffRequests {
+		w.fail("call %s is request %d that reaches %s through %s during its requested back-off", id, n, r.id, c.router.name)
 	}
 }
 
-// restMost is the number of requests that a replica may get in a rest that it has asked for.
-const restMost = 2
+// maxBackOffRequests is the number of requests that a replica may get during a back-off that it has
+// requested.
+const maxBackOffRequests = 2
 
-// bondKind names the words by which routers are bound.
-type bondKind string
+// obligationKind is the kind of notice that obliges a router.
+type obligationKind string
 
 const (
-	bondLimit   bondKind = "limit"
-	bondLeaving bondKind = "leaving"
-	bondRest    bondKind = "rest"
+	obligationLimit   obligationKind = "limit"
+	obligationLeaving obligationKind = "leaving"
+	obligationBackOff obligationKind = "rest"
 )
 
-type bondKey struct {
+type obligationKey struct {
 	replica *replica
 	router  *router
-	kind    bondKind
+	kind    obligationKind
 }
 
-// bind notes that a router is bound by a word of a replica from now on.
-func (w *world) bind(r *replica, n *router, kind bondKind, until time.Time) {
+// recordObligation records that a notice of a replica obliges a router from now on.
+func (w *world) recordObligation(r *replica, n *router, kind obligationKind, until time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	k := bondKey{r, n, kind}
-	if old, ok := w.bonds[k]; ok && old.start == n.starts && (kind != bondRest || until.Before(old.until)) {
+	k := obligationKey{r, n, kind}
+	if old, ok := w.obligations[k]; ok && old.start == n.starts && (kind != obligationBackOff || until.Before(old.until)) {
 		return
 	}
-	w.bonds[k] = bond{router: n, start: n.starts, at: time.Now(), until: until}
-	delete(w.resting, k)
+	w.obligations[k] = obligation{router: n, start: n.starts, at: time.Now(), until: until}
+	delete(w.backOffRequests, k)
 }
 
-// bond returns the word of a replica that binds a router, unless the router has started anew or was frozen since.
-func (w *world) bond(r *replica, n *router, kind bondKind) (bond, bool) {
+// obligation returns the notice of a replica that obliges a router, unless the router has restarted
+// or was disturbed since.
+func (w *world) obligation(r *replica, n *router, kind obligationKind) (obligation, bool) {
 	w.mu.Lock()
-	b, ok := w.bonds[bondKey{r, n, kind}]
+	b, ok := w.obligations[obligationKey{r, n, kind}]
 	same := b.start == n.starts
 	w.mu.Unlock()
-	return b, ok && same && n.touch.calm(b.at, time.Now())
+	return b, ok && same && n.disturbances.none(b.at, time.Now())
 }
 
-// rests notes that a replica has asked the router of a request for rest.
-func (w *world) rests(r *replica, id string, rest time.Duration) {
+// recordBackOff records that a replica has requested a back-off from the router of a request.
+func (w *world) recordBackOff(r *replica, id string, backOff time.Duration) {
 	w.mu.Lock()
 	c, known := w.calls[id]
 	w.mu.Unlock()
 	if known {
-		w.bind(r, c.router, bondRest, time.Now().Add(rest))
+		w.recordObligation(r, c.router, obligationBackOff, time.Now().Add(backOff))
 	}
 }
 
-// inRest counts a request that reaches a replica while it rests, and returns how many have.
-func (w *world) inRest(r *replica, n *router, now time.Time) int {
-	b, ok := w.bond(r, n, bondRest)
-	if !ok || now.Sub(b.at) < late || !now.Before(b.until) {
+// countBackOffRequest counts a request that reaches a replica during its requested back-off, and
+// returns the count.
+func (w *world) countBackOffRequest(r *replica, n *router, now time.Time) int {
+	b, ok := w.obligation(r, n, obligationBackOff)
+	if !ok || now.Sub(b.at) < tolerance || !now.Before(b.until) {
 		return 0
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	k := bondKey{r, n, bondRest}
-	w.resting[k]++
-	return w.resting[k]
+	k := obligationKey{r, n, obligationBackOff}
+	w.backOffRequests[k]++
+	return w.backOffRequests[k]
 }
 
-// judge checks what a caller was told, and keeps the call.
-func (w *world) judge(c *call) {
+// checkCall checks the outcome of a call for its caller, and keeps the call.
+func (w *world) checkCall(c *call) {
 	now := time.Now()
 	w.mu.Lock()
-	c.over = now
+	c.endedAt = now
 	w.ended = append(w.ended, c)
-	runs, answered, starts := len(c.ran), c.answered, c.router.starts
+	runs, answered, starts := len(c.ranAt), c.answered, c.router.starts
 	w.mu.Unlock()
 	if notRun[c.status] && runs > 0 && c.kind == kindUnsafe {
-		w.fail("call %s was told %d, not run, and has run", c.id, c.status)
+		w.fail("call %s got status %d (not run) but has run", c.id, c.status)
 	}
-	calm := w.calm(c.router, c.sent, now) && c.start == starts
+	undisturbed := w.undisturbed(c.router, c.sent, now) && c.start == starts
 	switch {
-	case c.err != nil && !c.left && answered && calm && w.replicasCalm(c.sent, now):
-		w.fail("call %s at %s was answered by its replica, and its caller got: %v", c.id, c.router.name, c.err)
+	case c.err != nil && !c.leavesEarly && answered && undisturbed && w.replicasUndisturbed(c.sent, now):
+		w.fail("call %s at %s was answered by its replica, but its caller got: %v", c.id, c.router.name, c.err)
 	case c.kind == kindProbe && c.status != 0:
-		w.judgeProbe(c, calm)
+		w.checkProbe(c, undisturbed)
 	case c.status == http.StatusNotFound || c.status == http.StatusUnauthorized && c.keyVersion == 0:
 		w.fail("call %s at %s was denied with %d", c.id, c.router.name, c.status)
 	}
-	w.bindPassed(c)
+	w.recordCallObligations(c)
 }
 
-// bindPassed notes by which words of its replica the router of a call is bound.
-func (w *world) bindPassed(c *call) {
+// recordCallObligations records the notices in the answer of a call that oblige its router.
+func (w *world) recordCallObligations(c *call) {
 	if !c.limited && !c.leaving {
 		return
 	}
@@ -182,31 +187,32 @@
 		return
 	}
 	if c.limited {
-		w.bind(all[i], c.router, bondLimit, time.Time{})
+		w.recordObligation(all[i], c.router, obligationLimit, time.Time{})
 	}
 	if c.leaving {
-		w.bind(all[i], c.router, bondLeaving, time.Time{})
+		w.recordObligation(all[i], c.router, obligationLeaving, time.Time{})
 	}
 }
 
-// judgeProbe checks by which configuration a router has judged a call: one that is in force everywhere holds, and what it took away does not.
-func (w *world) judgeProbe(c *call, calm bool) {
+// checkProbe checks which configuration a router applied to a call: once a version is in force
+// everywhere, its route must be served, and a route that a later version removed must not.
+func (w *world) checkProbe(c *call, undisturbed bool) {
 	w.mu.Lock()
-	taken := w.configs[c.version-1].at
+	storedAt := w.configs[c.version-1].storedAt
 	w.mu.Unlock()
-	dropped, gone := w.gone(c.version)
-	switch known := c.status != http.StatusNotFound; {
-	case !known && !gone && calm && c.sent.Sub(taken) > applyTime+late:
-		w.fail("%s does not know configuration %d %s after it was taken", c.router.name, c.version, c.sent.Sub(taken))
-	case known && gone && calm && c.sent.Sub(dropped) > applyTime+late && c.status == http.StatusOK:
-		w.fail("%s serves a route %s after it was taken away", c.router.name, c.sent.Sub(dropped))
+	removedAt, removed := w.removedAt(c.version)
+	switch routeKnown := c.status != http.StatusNotFound; {
+	case !routeKnown && !removed && undisturbed && c.sent.Sub(storedAt) > applyTime+tolerance:
+		w.fail("%s does not apply configuration %d %s after the store accepted it", c.router.name, c.version, c.sent.Sub(storedAt))
+	case routeKnown && removed && undisturbed && c.sent.Sub(removedAt) > applyTime+tolerance && c.status == http.StatusOK:
+		w.fail("%s serves a route %s after it was removed", c.router.name, c.sent.Sub(removedAt))
 	}
 }
 
-// replicasCalm reports whether no replica was disturbed between two times.
-func (w *world) replicasCalm(from, to time.Time) bool {
+// replicasUndisturbed reports whether no replica was disturbed between two times.
+func (w *world) replicasUndisturbed(from, to time.Time) bool {
 	for _, r := range w.allReplicas() {
-		if !r.touch.calm(from, to) {
+		if !r.disturbances.none(from, to) {
 			return false
 		}
 	}
--- a/tests/soak/final_test.go
+++ b/tests/soak/final_test.go
@@ -10,23 +10,27 @@
 )
 
 const (
-	// retryPart, retrySlack and retryWindow bound the arrivals at a service beyond the first of each request.
-	retryPart   = 0.2
+	// retryRatio, retrySlack and retryWindow bound the arrivals at a service beyond the first of
+	// each request.
+	retryRatio  = 0.2
 	retrySlack  = 90
 	retryWindow = 10 * time.Second
-	// limitWindow, limitFactor and limitSlack bound what a replica with a limit gets from routers that it has told.
+	// limitWindow, limitFactor and limitSlack bound the requests that a replica with a limit gets
+	// from routers that know of the limit.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// mostMemory and mostDescriptors bound a process; the race detector takes several times the memory.
-	mostMemory      = 600 << 20
-	mostDescriptors = 1000
-	// recovered is the part of the calls that is served after the last fault.
-	recovered = 0.95
+	// maxMemory and maxDescriptors bound a process; the race detector takes several times the
+	// memory.
+	maxMemory      = 600 << 20
+	maxDescriptors = 1000
+	// minServedFraction is the fraction of the calls that must be served after the last fault.
+	minServedFraction = 0.95
 )
 
-// checkEnd checks what can be seen of a soak as a whole. Quiet is since when nothing was disturbed.
-func (w *world) checkEnd(quiet time.Time) {
+// checkFinal makes the checks that need the complete soak. Nothing was disturbed from quietSince
+// on.
+func (w *world) checkFinal(quietSince time.Time) {
 	if seen := w.group.Seen(); seen.Mixed > 0 {
 		w.fail("%d of %d passes began with two maps", seen.Mixed, seen.Passes)
 	}
@@ -35,30 +39,30 @@
 		w.checkLimits(r)
 	}
 	for _, r := range w.routers {
-		w.checkUse(r.process)
+		w.checkUsage(r.process)
 	}
 	for _, a := range w.agents {
-		w.checkUse(a)
+		w.checkUsage(a)
 	}
-	w.checkRecovered(quiet)
+	w.checkRecovered(quietSince)
 }
 
-// checkUse checks that a process has not grown.
-func (w *world) checkUse(p *process) {
-	if descriptors, memory := p.use(); descriptors > mostDescriptors || memory > mostMemory {
+// checkUsage checks that a process has not grown beyond its bounds.
+func (w *world) checkUsage(p *process) {
+	if descriptors, memory := p.usage(); descriptors > maxDescriptors || memory > maxMemory {
 		w.fail("%s has %d descriptors and %d MB", p.name, descriptors, memory>>20)
 	}
 }
 
 // checkRetries checks the retry budget of each service over all routers, in each window.
 func (w *world) checkRetries() {
-	asked, arrived := map[string][]time.Time{}, map[string][]time.Time{}
+	sent, arrived := map[string][]time.Time{}, map[string][]time.Time{}
 	for _, c := range w.ended {
 		service := "ledger"
 		if c.kind == kindStream {
 			service = "pool"
 		}
-		asked[service] = append(asked[service], c.sent)
+		sent[service] = append(sent[service], c.sent)
 	}
 	first := map[string]bool{}
 	for _, a := range w.arrivals() {
@@ -68,7 +72,7 @@
 		first[a.id] = true
 	}
 	for service, times := range arrived {
-		slices.SortFunc(asked[service], time.Time.Compare)
+		slices.SortFunc(sent[service], time.Time.Compare)
 		for i, at := range times {
 			retries := 0
 			for _, o := range times[i:] {
@@ -77,13 +81,13 @@
 				}
 			}
 			requests := 0
-			for _, o := range asked[service] {
+			for _, o := range sent[service] {
 				if since := o.Sub(at); since >= -retryWindow/2 && since <= retryWindow {
 					requests++
 				}
 			}
-			if most := retryPart*float64(requests) + retrySlack; float64(retries) > most {
-				w.fail("%d retries at %s in %s from %.2f s on, %.0f are allowed", retries, service, retryWindow, at.Sub(w.begun).Seconds(), most)
+			if allowed := retryRatio*float64(requests) + retrySlack; float64(retries) > allowed {
+				w.fail("%d retries at %s in %s from %.2f s on, %.0f are allowed", retries, service, retryWindow, at.Sub(w.begun).Seconds(), allowed)
 				return
 			}
 		}
@@ -96,7 +100,7 @@
 	service string
 }
 
-// arrivals returns those at all replicas, in their order.
+// arrivals returns the arrivals at all replicas, in order of time.
 func (w *world) arrivals() []serviceArrival {
 	var out []serviceArrival
 	for _, r := range w.allReplicas() {
@@ -110,42 +114,43 @@
 	return out
 }
 
-// checkLimits checks that a replica got no more than the limits that it named allow, from routers that it had told.
+// checkLimits checks that a replica got no more than its reported limits allow from routers that
+// know of them.
 func (w *world) checkLimits(r *replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range r.limits {
 		var times []time.Time
 		for _, a := range r.arrivals {
-			if a.at.Before(l.from.Add(contact)) || !l.to.IsZero() && a.at.After(l.to) {
+			if a.at.Before(l.from.Add(contactTime)) || !l.to.IsZero() && a.at.After(l.to) {
 				continue
 			}
 			w.mu.Lock()
 			c := w.calls[a.id]
-			b, told := w.bonds[bondKey{r, c.router, bondLimit}]
+			b, obliged := w.obligations[obligationKey{r, c.router, obligationLimit}]
 			w.mu.Unlock()
-			if told && a.at.Sub(b.at) >= late && c.start == b.start && c.router.touch.calm(b.at, a.at) {
+			if obliged && a.at.Sub(b.at) >= tolerance && c.start == b.start && c.router.disturbances.none(b.at, a.at) {
 				times = append(times, a.at)
 			}
 		}
-		most, from := 0, 0
+		highest, from := 0, 0
 		for i, at := range times {
 			for at.Sub(times[from]) > limitWindow {
 				from++
 			}
-			most = max(most, i-from+1)
+			highest = max(highest, i-from+1)
 		}
-		if allowed := int(limitFactor*limitWindow.Seconds()*l.limit) + limitSlack; most > allowed {
-			w.fail("%s has limited its requests to %v a second and got %d in %s, %d are allowed", r.id, l.limit, most, limitWindow, allowed)
+		if allowed := int(limitFactor*limitWindow.Seconds()*l.limit) + limitSlack; highest > allowed {
+			w.fail("%s has limited its requests to %v a second and got %d in %s, %d are allowed", r.id, l.limit, highest, limitWindow, allowed)
 		}
 	}
 }
 
 // checkRecovered checks that callers are served after the last fault.
-func (w *world) checkRecovered(quiet time.Time) {
+func (w *world) checkRecovered(quietSince time.Time) {
 	all, served := 0, 0
 	for _, c := range w.ended {
-		if c.sent.Before(quiet) || c.left || c.keyVersion > 0 || c.kind == kindProbe {
+		if c.sent.Before(quietSince) || c.leavesEarly || c.keyVersion > 0 || c.kind == kindProbe {
 			continue
 		}
 		all++
@@ -153,7 +158,7 @@
 			served++
 		}
 	}
-	if float64(served) < recovered*float64(all) || all == 0 {
+	if float64(served) < minServedFraction*float64(all) || all == 0 {
 		w.fail("%d of %d calls are served after the last fault", served, all)
 	}
 	w.t.Logf("%d calls, %d of %d served after the last fault; %+v", len(w.ended), served, all, w.group.Seen())
--- a/tests/soak/main_test.go
+++ b/tests/soak/main_test.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package soak runs the real program as separate processes, lets a random plan of faults strike them from outside, and checks the promises
-// all the time by what callers and upstreams see.
+// Package soak runs the real program as separate processes, injects a random plan of faults from
+// outside, and checks the guarantees continuously by what callers and upstreams see.
 package soak
 
 import (
@@ -17,7 +17,7 @@
 
 var (
 	seedFlag = flag.Uint64("seed", 1, "seed of the plan of faults")
-	forFlag  = flag.Duration("for", 30*time.Second, "how long callers come; faults end some seconds before")
+	forFlag  = flag.Duration("for", 30*time.Second, "how long callers send calls; faults end some seconds before")
 	sizeFlag = flag.Int("routers", 3, "number of routers")
 )
 
--- a/tests/soak/plan_test.go
+++ b/tests/soak/plan_test.go
@@ -18,21 +18,21 @@
 	"github.com/Shopify/toxiproxy/v2"
 )
 
-// fault is something that strikes for a time.
+// fault is a fault that is injected for some time.
 type fault struct {
 	name string
-	// weight is how often it is drawn against others.
+	// weight is the relative frequency with which the fault is drawn.
 	weight int
-	strike func(w *world, chance *rand.Rand, last time.Duration)
+	inject func(w *world, rng *rand.Rand, duration time.Duration)
 }
 
-// pause waits for a time, as the length of a fault.
+// pause sleeps for the duration of a fault.
 func pause(d time.Duration) { time.Sleep(d) }
 
-func (w *world) anyRouter(chance *rand.Rand) *router { return w.routers[chance.IntN(len(w.routers))] }
+func (w *world) anyRouter(rng *rand.Rand) *router { return w.routers[rng.IntN(len(w.routers))] }
 
-// anyReplica returns a replica that runs; plain ones only if plain is set.
-func (w *world) anyReplica(chance *rand.Rand, plain bool) *replica {
+// anyReplica returns a random running replica; with plain set, only one of a plain service.
+func (w *world) anyReplica(rng *rand.Rand, plain bool) *replica {
 	var out []*replica
 	for _, r := range w.allReplicas() {
 		r.mu.Lock()
@@ -41,169 +41,176 @@
 		}
 		r.mu.Unlock()
 	}
-	return out[chance.IntN(len(out))]
+	return out[rng.IntN(len(out))]
 }
 
-// faults are what may strike.
+// faults are the faults that may be injected.
 var faults = []fault{
-	{"a router is killed", 3, func(w *world, chance *rand.Rand, last time.Duration) {
-		r := w.anyRouter(chance)
-		w.restart(r, last, func() { r.kill() })
+	{"a router is killed", 3, func(w *world, rng *rand.Rand, duration time.Duration) {
+		r := w.anyRouter(rng)
+		w.restart(r, duration, func() { r.kill() })
 	}},
-	{"a router freezes", 3, func(w *world, chance *rand.Rand, last time.Duration) {
-		w.anyRouter(chance).freeze(last)
+	{"a router freezes", 3, func(w *world, rng *rand.Rand, duration time.Duration) {
+		w.anyRouter(rng).freeze(duration)
 	}},
-	{"a router is stopped as planned", 3, func(w *world, chance *rand.Rand, _ time.Duration) {
-		r := w.anyRouter(chance)
+	{"a router is stopped as planned", 3, func(w *world, rng *rand.Rand, _ time.Duration) {
+		r := w.anyRouter(rng)
 		w.restart(r, 0, func() { r.end(syscall.SIGTERM, graceTime) })
 	}},
-	{"all routers are killed", 1, func(w *world, _ *rand.Rand, last time.Duration) {
+	{"all routers are killed", 1, func(w *world, _ *rand.Rand, duration time.Duration) {
 		var all sync.WaitGroup
 		for _, r := range w.routers {
-			all.Go(func() { w.restart(r, last/4, func() { r.kill() }) })
+			all.Go(func() { w.restart(r, duration/4, func() { r.kill() }) })
 		}
 		all.Wait()
 	}},
-	{"settings change", 2, func(w *world, chance *rand.Rand, _ time.Duration) { w.anyRouter(chance).signal(syscall.SIGHUP) }},
-	{"an agent is killed", 2, func(w *world, chance *rand.Rand, last time.Duration) {
-		a := w.agents[chance.IntN(len(w.agents))]
-		a.life.Lock()
-		defer a.life.Unlock()
+	{"settings change", 2, func(w *world, rng *rand.Rand, _ time.Duration) { w.anyRouter(rng).signal(syscall.SIGHUP) }},
+	{"an agent is killed", 2, func(w *world, rng *rand.Rand, duration time.Duration) {
+		a := w.agents[rng.IntN(len(w.agents))]
+		a.lifecycle.Lock()
+		defer a.lifecycle.Unlock()
 		a.kill()
-		pause(last / 2)
+		pause(duration / 2)
 		a.start()
 	}},
-	{"an agent freezes", 2, func(w *world, chance *rand.Rand, last time.Duration) {
-		w.agents[chance.IntN(len(w.agents))].freeze(last)
+	{"an agent freezes", 2, func(w *world, rng *rand.Rand, duration time.Duration) {
+		w.agents[rng.IntN(len(w.agents))].freeze(duration)
 	}},
-	{"orders are lost and carried out late while demand shifts", 4, func(w *world, chance *rand.Rand, last time.Duration) {
-		w.group.Trouble(rankgroup.Trouble{Lost: 0.4, Late: last / 2})
-		for end := time.Now().Add(2 * last); time.Now().Before(end); pause(shiftEvery) {
-			w.group.Like(chance.IntN(12))
+	{"orders are lost and carried out late while demand shifts", 4, func(w *world, rng *rand.Rand, duration time.Duration) {
+		w.group.Trouble(rankgroup.Trouble{Lost: 0.4, Late: duration / 2})
+		for end := time.Now().Add(2 * duration); time.Now().Before(end); pause(demandShiftInterval) {
+			w.group.Like(rng.IntN(12))
 		}
 		w.group.Trouble(rankgroup.Trouble{})
 	}},
-	{"demand shifts", 4, func(w *world, chance *rand.Rand, _ time.Duration) { w.group.Like(chance.IntN(12)) }},
-	{"the store is in trouble", 3, func(w *world, chance *rand.Rand, last time.Duration) {
-		defer w.storeTouch.begin()()
-		w.store.Trouble([]metastore.Trouble{metastore.TroubleBusy, metastore.TroubleSilent, metastore.TroubleLost}[chance.IntN(3)])
-		pause(last)
+	{"demand shifts", 4, func(w *world, rng *rand.Rand, _ time.Duration) { w.group.Like(rng.IntN(12)) }},
+	{"the store is in trouble", 3, func(w *world, rng *rand.Rand, duration time.Duration) {
+		defer w.storeDisturbances.begin()()
+		w.store.Trouble([]metastore.Trouble{metastore.TroubleBusy, metastore.TroubleSilent, metastore.TroubleLost}[rng.IntN(3)])
+		pause(duration)
 		w.store.Trouble(metastore.TroubleNone)
 	}},
-	{"the store forgets", 1, func(w *world, _ *rand.Rand, _ time.Duration) {
+	{"the store trims its streams", 1, func(w *world, _ *rand.Rand, _ time.Duration) {
 		w.store.Trim(operatorStream)
 		w.store.Trim(replicaStream)
 	}},
-	{"a router is cut from the store", 2, func(w *world, chance *rand.Rand, last time.Duration) {
-		r := w.anyRouter(chance)
-		defer r.touch.begin()()
-		w.toxic(r.store, `{"name":"cut","type":"timeout","attributes":{"timeout":0}}`, last)
+	{"a router is cut from the store", 2, func(w *world, rng *rand.Rand, duration time.Duration) {
+		r := w.anyRouter(rng)
+		defer r.disturbances.begin()()
+		w.addToxic(r.store, `{"name":"cut","type":"timeout","attributes":{"timeout":0}}`, duration)
 	}},
-	{"a link is slow", 3, func(w *world, chance *rand.Rand, last time.Duration) {
-		r := w.anyReplica(chance, false)
-		defer r.touch.begin()()
-		w.toxic(r.proxy, `{"name":"slow","type":"latency","attributes":{"latency":120,"jitter":80}}`, last)
+	{"a link is slow", 3, func(w *world, rng *rand.Rand, duration time.Duration) {
+		r := w.anyReplica(rng, false)
+		defer r.disturbances.begin()()
+		w.addToxic(r.proxy, `{"name":"slow","type":"latency","attributes":{"latency":120,"jitter":80}}`, duration)
 	}},
-	{"a link resets", 3, func(w *world, chance *rand.Rand, last time.Duration) {
-		r := w.anyReplica(chance, false)
-		defer r.touch.begin()()
-		w.toxic(r.proxy, `{"name":"reset","type":"reset_peer","attributes":{"timeout":30}}`, last/2)
+	{"a link resets", 3, func(w *world, rng *rand.Rand, duration time.Duration) {
+		r := w.anyReplica(rng, false)
+		defer r.disturbances.begin()()
+		w.addToxic(r.proxy, `{"name":"reset","type":"reset_peer","attributes":{"timeout":30}}`, duration/2)
 	}},
-	{"a link is silent", 3, func(w *world, chance *rand.Rand, last time.Duration) {
-		r := w.anyReplica(chance, false)
-		defer r.touch.begin()()
-		stream := []string{"upstream", "downstream"}[chance.IntN(2)]
-		w.toxic(r.proxy, `{"name":"silent","type":"timeout","stream":"`+stream+`","attributes":{"timeout":0}}`, last)
+	{"a link is silent", 3, func(w *world, rng *rand.Rand, duration time.Duration) {
+		r := w.anyReplica(rng, false)
+		defer r.disturbances.begin()()
+		stream := []string{"upstream", "downstream"}[rng.IntN(2)]
+		w.addToxic(r.proxy, `{"name":"silent","type":"timeout","stream":"`+stream+`","attributes":{"timeout":0}}`, duration)
 	}},
-	{"a link is narrow", 2, func(w *world, chance *rand.Rand, last time.Duration) {
-		r := w.anyReplica(chance, false)
-		defer r.touch.begin()()
-		w.toxic(r.proxy, `{"name":"narrow","type":"bandwidth","attributes":{"rate":20}}`, last)
+	{"a link is narrow", 2, func(w *world, rng *rand.Rand, duration time.Duration) {
+		r := w.anyReplica(rng, false)
+		defer r.disturbances.begin()()
+		w.addToxic(r.proxy, `{"name":"narrow","type":"bandwidth","attributes":{"rate":20}}`, duration)
 	}},
-	{"a replica crashes", 3, func(w *world, chance *rand.Rand, last time.Duration) {
-		r := w.anyReplica(chance, true)
-		defer r.touch.begin()()
+	{"a replica crashes", 3, func(w *world, rng *rand.Rand, duration time.Duration) {
+		r := w.anyReplica(rng, true)
+		defer r.disturbances.begin()()
 		r.crash()
-		pause(last / 2)
+		pause(duration / 2)
 		w.newReplica(r.service, nil)
-		r.list("")
+		r.setState("")
 	}},
-	{"a replica crashes and its address goes to another service", 2, func(w *world, chance *rand.Rand, last time.Duration) {
-		r := w.anyReplica(chance, true)
-		defer r.touch.begin()()
+	{"a replica crashes and its address goes to another service", 2, func(w *world, rng *rand.Rand, duration time.Duration) {
+		r := w.anyReplica(rng, true)
+		defer r.disturbances.begin()()
 		r.crash()
-		stranger := w.newReplica("other", nil)
+		other := w.newReplica("other", nil)
 		r.proxy.Stop()
-		r.proxy.Upstream = stranger.listener.Addr().String()
+		r.proxy.Upstream = other.listener.Addr().String()
 		if err := r.proxy.Start(); err != nil {
-			w.fail("proxy before %s: %v", stranger.id, err)
+			w.fail("proxy before %s: %v", other.id, err)
 		}
-		pause(last / 2)
+		pause(duration / 2)
 		w.newReplica(r.service, nil)
-		r.list("")
+		r.setState("")
 	}},
-	{"a replica drains", 3, func(w *world, chance *rand.Rand, last time.Duration) {
-		r := w.anyReplica(chance, true)
+	{"a replica drains", 3, func(w *world, rng *rand.Rand, duration time.Duration) {
+		r := w.anyReplica(rng, true)
 		w.newReplica(r.service, nil)
-		r.list("draining")
-		pause(drainTime + last)
-		r.list("")
-		pause(patience)
-		defer r.touch.begin()()
+		r.setState("draining")
+		pause(drainTime + duration)
+		r.setState("")
+		pause(callerTimeout)
+		defer r.disturbances.begin()()
 		r.crash()
 	}},
-	{"a replica leaves by its own word", 2, func(w *world, chance *rand.Rand, last time.Duration) {
-		r := w.anyReplica(chance, true)
+	{"a replica announces that it leaves", 2, func(w *world, rng *rand.Rand, duration time.Duration) {
+		r := w.anyReplica(rng, true)
 		w.newReplica(r.service, nil)
-		r.behave(manners{leaving: true})
-		pause(drainTime + last)
-		r.list("")
-		pause(patience)
-		defer r.touch.begin()()
+		r.setBehavior(behavior{leaving: true})
+		pause(drainTime + duration)
+		r.setState("")
+		pause(callerTimeout)
+		defer r.disturbances.begin()()
 		r.crash()
 	}},
-	{"a replica limits its requests", 3, func(w *world, chance *rand.Rand, last time.Duration) {
-		r := w.anyReplica(chance, false)
-		r.behave(manners{limit: []float64{0.5, 1, 3, 20}[chance.IntN(4)]})
-		pause(contact + 2*last)
-		r.behave(manners{})
+	{"a replica limits its requests", 3, func(w *world, rng *rand.Rand, duration time.Duration) {
+		r := w.anyReplica(rng, false)
+		r.setBehavior(behavior{limit: []float64{0.5, 1, 3, 20}[rng.IntN(4)]})
+		pause(contactTime + 2*duration)
+		r.setBehavior(behavior{})
 	}},
-	{"a replica turns requests away", 4, func(w *world, chance *rand.Rand, last time.Duration) {
-		m := manners{refuse: 0.3 + 0.7*chance.Float64(), status: http.StatusServiceUnavailable}
-		if chance.IntN(3) > 0 {
-			m.rest = time.Duration(500+chance.IntN(2500)) * time.Millisecond
+	{"a replica refuses requests", 4, func(w *world, rng *rand.Rand, duration time.Duration) {
+		m := behavior{refuseFraction: 0.3 + 0.7*rng.Float64(), status: http.StatusServiceUnavailable}
+		if rng.IntN(3) > 0 {
+			m.retryAfter = time.Duration(500+rng.IntN(2500)) * time.Millisecond
 		}
-		if chance.IntN(4) == 0 {
+		if rng.IntN(4) == 0 {
 			m.status = http.StatusTooManyRequests
 		}
-		w.misbehave(chance, m, last)
+		w.misbehave(rng, m, duration)
 	}},
-	{"a replica loses answers", 3, func(w *world, chance *rand.Rand, last time.Duration) { w.misbehave(chance, manners{lose: 0.3}, last) }},
-	{"a replica spoils answers", 3, func(w *world, chance *rand.Rand, last time.Duration) { w.misbehave(chance, manners{garble: 0.3}, last) }},
-	{"a replica is slow", 2, func(w *world, chance *rand.Rand, last time.Duration) {
-		w.misbehave(chance, manners{slow: 400 * time.Millisecond}, last)
+	{"a replica loses answers", 3, func(w *world, rng *rand.Rand, duration time.Duration) {
+		w.misbehave(rng, behavior{loseFraction: 0.3}, duration)
+	}},
+	{"a replica corrupts answers", 3, func(w *world, rng *rand.Rand, duration time.Duration) {
+		w.misbehave(rng, behavior{corruptFraction: 0.3}, duration)
+	}},
+	{"a replica is slow", 2, func(w *world, rng *rand.Rand, duration time.Duration) {
+		w.misbehave(rng, behavior{delay: 400 * time.Millisecond}, duration)
 	}},
 	{"the configuration changes", 6, func(w *world, _ *rand.Rand, _ time.Duration) { w.newConfig() }},
-	{"configurations come in quick succession", 1, func(w *world, _ *rand.Rand, last time.Duration) {
+	{"configurations come in quick succession", 1, func(w *world, _ *rand.Rand, duration time.Duration) {
 		for range 5 {
 			w.newConfig()
-			pause(last / 10)
+			pause(duration / 10)
 		}
 	}},
-	{"the store comes back from a copy", 3, func(w *world, chance *rand.Rand, last time.Duration) { w.comeBack(chance, last) }},
+	{"the store is restored from a copy", 3, func(w *world, rng *rand.Rand, duration time.Duration) { w.restoreStore(rng, duration) }},
 }
 
-// firstFaults is how many of them the first plans were drawn from: a seed that has found something is played with the plan that it had then.
+// firstFaults is the number of faults that the first plans were drawn from. A seed that found a
+// fault is replayed with the same plan.
 const firstFaults = 27
 
-// shiftEvery is the time between two shifts of demand while orders are lost: about as long as a change of map takes.
-const shiftEvery = 400 * time.Millisecond
+// demandShiftInterval is the time between two shifts of demand while orders are lost: about as long
+// as a change of map takes.
+const demandShiftInterval = 400 * time.Millisecond
 
-// restart disturbs a router while it is ended in some way, and starts it anew after a time.
+// restart marks a router as disturbed, ends it with the given function, and starts it again after a
+// delay.
 func (w *world) restart(r *router, after time.Duration, end func()) {
-	r.life.Lock()
-	defer r.life.Unlock()
-	done := r.touch.begin()
+	r.lifecycle.Lock()
+	defer r.lifecycle.Unlock()
+	done := r.disturbances.begin()
 	end()
 	pause(after)
 	w.mu.Lock()
@@ -213,36 +220,38 @@
 	done()
 }
 
-// misbehave has a replica do something wrong for a time.
-func (w *world) misbehave(chance *rand.Rand, m manners, last time.Duration) {
-	r := w.anyReplica(chance, false)
-	defer r.touch.begin()()
-	r.behave(m)
-	pause(last)
-	r.behave(manners{})
+// misbehave makes a replica misbehave for some time.
+func (w *world) misbehave(rng *rand.Rand, m behavior, duration time.Duration) {
+	r := w.anyReplica(rng, false)
+	defer r.disturbances.begin()()
+	r.setBehavior(m)
+	pause(duration)
+	r.setBehavior(behavior{})
 }
 
-// toxic harms a link for a time.
-func (w *world) toxic(p *toxiproxy.Proxy, text string, last time.Duration) {
+// addToxic disturbs a link for some time.
+func (w *world) addToxic(p *toxiproxy.Proxy, text string, duration time.Duration) {
 	t, err := p.Toxics.AddToxicJson(strings.NewReader(text))
 	if err != nil {
-		return // another fault harms the link in the same way already
+		return // another fault already disturbs the link in the same way
 	}
-	pause(last)
+	pause(duration)
 	if err := p.Toxics.RemoveToxic(context.Background(), t.Name); err != nil {
-		w.fail("link %s is not mended: %v", p.Name, err)
+		w.fail("link %s is not restored: %v", p.Name, err)
 	}
 }
 
 const (
-	// gapMean is the mean time between the begins of two faults, and lastMost bounds the length of one.
-	gapMean  = 900 * time.Millisecond
-	lastMost = 4 * time.Second
+	// meanFaultInterval is the mean time between the starts of two faults, and maxFaultDuration
+	// bounds the random part of a fault's duration, which is added to 300 ms.
+	meanFaultInterval = 900 * time.Millisecond
+	maxFaultDuration  = 4 * time.Second
 )
 
-// strike lets faults strike until a time, one after the other and together, and returns when all are over.
-func (w *world) strike(ctx context.Context, until time.Time) {
-	chance := w.chance(1)
+// injectFaults injects faults until a time, one after another and overlapping, and returns when all
+// have ended.
+func (w *world) injectFaults(ctx context.Context, until time.Time) {
+	rng := w.newRand(1)
 	sum := 0
 	for _, f := range w.faults {
 		sum += f.weight
@@ -250,21 +259,21 @@
 	var all sync.WaitGroup
 	var busy sync.Map
 	for n := uint64(0); time.Now().Before(until) && ctx.Err() == nil; n++ {
-		pause(time.Duration(chance.ExpFloat64() * float64(gapMean)))
-		at := chance.IntN(sum)
+		pause(time.Duration(rng.ExpFloat64() * float64(meanFaultInterval)))
+		at := rng.IntN(sum)
 		i := 0
 		for ; at >= w.faults[i].weight; i++ {
 			at -= w.faults[i].weight
 		}
-		last := 300*time.Millisecond + time.Duration(chance.Int64N(int64(lastMost)))
+		duration := 300*time.Millisecond + time.Duration(rng.Int64N(int64(maxFaultDuration)))
 		if _, running := busy.LoadOrStore(i, true); running {
-			continue // the same kind of fault is not drawn twice at a time
+			continue // no two faults of the same kind at a time
 		}
-		f, own := w.faults[i], w.chance(100+n)
-		w.note("%s, %s", f.name, last.Round(time.Millisecond))
+		f, own := w.faults[i], w.newRand(100+n)
+		w.note("%s, %s", f.name, duration.Round(time.Millisecond))
 		all.Go(func() {
 			defer busy.Delete(i)
-			f.strike(w, own, last)
+			f.inject(w, own, duration)
 			w.note("over: %s", f.name)
 		})
 	}
--- a/tests/soak/process_test.go
+++ b/tests/soak/process_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// process is one running program of the soak. Faults end only these, by their handles.
+// process is one running program of the soak. Faults end only these processes, by their handles.
 type process struct {
 	w    *world
 	name string
@@ -23,14 +23,14 @@
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	done chan struct{}
-	// told says that the soak has told the process to end.
-	told bool
-	// touch tells when the process was disturbed.
-	touch disturbances
-	// frozen tells when the process stood still.
-	frozen disturbances
-	// life is held while the process is ended and started anew.
-	life sync.Mutex
+	// endRequested reports whether the soak has requested the end of the process.
+	endRequested bool
+	// disturbances holds when the process was disturbed.
+	disturbances disturbances
+	// freezes holds when the process was suspended.
+	freezes disturbances
+	// lifecycle is held while the process is ended and restarted.
+	lifecycle sync.Mutex
 }
 
 func (p *process) start() {
@@ -48,16 +48,16 @@
 	}
 	done := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.done, p.told = cmd, done, false
+	p.cmd, p.done, p.endRequested = cmd, done, false
 	p.mu.Unlock()
 	go func() {
 		_ = cmd.Wait()
 		_ = out.Close()
 		p.mu.Lock()
-		alone := !p.told && p.cmd == cmd
+		unexpected := !p.endRequested && p.cmd == cmd
 		p.mu.Unlock()
-		if alone {
-			p.w.fail("%s ended by itself: %s", p.name, cmd.ProcessState)
+		if unexpected {
+			p.w.fail("%s ended unexpectedly: %s", p.name, cmd.ProcessState)
 		}
 		close(done)
 	}()
@@ -69,18 +69,18 @@
 	_ = p.cmd.Process.Signal(s)
 }
 
-// end tells the process to end by a signal, and waits until it has.
+// end sends the process a signal to end, and waits until it has ended.
 func (p *process) end(s syscall.Signal, limit time.Duration) {
 	p.mu.Lock()
-	p.told = true
+	p.endRequested = true
 	done := p.done
 	p.mu.Unlock()
 	p.signal(s)
-	told := time.Now()
+	requestedAt := time.Now()
 	select {
 	case <-done:
 	case <-time.After(limit):
-		if p.frozen.calm(told, time.Now()) {
+		if p.freezes.none(requestedAt, time.Now()) {
 			p.w.fail("%s has not ended %s after %s", p.name, limit, s)
 		}
 		p.signal(syscall.SIGKILL)
@@ -88,23 +88,24 @@
 	}
 }
 
-// freeze has the process stand still for a time.
-func (p *process) freeze(last time.Duration) {
-	defer p.touch.begin()()
-	defer p.frozen.begin()()
+// freeze suspends the process for some time.
+func (p *process) freeze(duration time.Duration) {
+	defer p.disturbances.begin()()
+	defer p.freezes.begin()()
 	p.signal(syscall.SIGSTOP)
-	time.Sleep(last)
+	time.Sleep(duration)
 	p.signal(syscall.SIGCONT)
 }
 
-// kill ends the process at once, also if it is frozen.
+// kill ends the process immediately, even if it is frozen.
 func (p *process) kill() {
 	p.signal(syscall.SIGCONT)
 	p.end(syscall.SIGKILL, 5*time.Second)
 }
 
-// descriptors returns the number of open descriptors, and memory the resident memory in bytes; 0 if the process is not there.
-func (p *process) use() (descriptors int, memory int64) {
+// usage returns the number of open descriptors and the resident memory in bytes; 0 if the process
+// does not exist.
+func (p *process) usage() (descriptors int, memory int64) {
 	p.mu.Lock()
 	pid := p.cmd.Process.Pid
 	p.mu.Unlock()
@@ -123,7 +124,8 @@
 	return descriptors, 0
 }
 
-// disturbances holds the spans in which something was disturbed; one that has not ended has no end.
+// disturbances holds the time spans in which something was disturbed; a span in progress has no
+// end.
 type disturbances struct {
 	mu    sync.Mutex
 	spans []span
@@ -131,7 +133,7 @@
 
 type span struct{ from, to time.Time }
 
-// begin notes that a disturbance begins, and returns a function that notes its end.
+// begin records the start of a disturbance, and returns a function that records its end.
 func (d *disturbances) begin() (end func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -144,8 +146,8 @@
 	}
 }
 
-// calm reports whether nothing was disturbed between two times.
-func (d *disturbances) calm(from, to time.Time) bool {
+// none reports whether nothing was disturbed between two times.
+func (d *disturbances) none(from, to time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, s := range d.spans {
--- a/tests/soak/replica_test.go
+++ b/tests/soak/replica_test.go
@@ -20,17 +20,21 @@
 	"github.com/rs/zerolog"
 )
 
-// manners are what a replica does to the requests that reach it. The parts are drawn for each.
-type manners struct {
-	// refuse is the part that is turned away with a status, and rest what Retry-After says then; 0 says nothing.
-	refuse float64
-	status int
-	rest   time.Duration
-	// lose is the part that runs and gets no answer, garble that whose answer is spoilt.
-	lose, garble float64
-	// slow is added to the time of work.
-	slow time.Duration
-	// limit is the limit that answers name, leaving that they say the replica leaves.
+// behavior is how a replica handles the requests that reach it. The fractions apply at random to
+// each request.
+type behavior struct {
+	// refuseFraction is the fraction that is refused with status, and retryAfter the value of
+	// Retry-After in these answers; 0 for none.
+	refuseFraction float64
+	status         int
+	retryAfter     time.Duration
+	// loseFraction is the fraction that runs and gets no answer, and corruptFraction the fraction
+	// whose answer is corrupted.
+	loseFraction, corruptFraction float64
+	// delay is added to the processing time.
+	delay time.Duration
+	// limit is the limit that answers report, and leaving reports whether they announce that the
+	// replica leaves.
 	limit   float64
 	leaving bool
 }
@@ -42,33 +46,34 @@
 	run bool
 }
 
-// replica is an upstream that the soak plays. The store lists the address of a proxy before it.
+// replica is an upstream that the soak simulates. The store lists the address of a proxy in front
+// of it.
 type replica struct {
 	w           *world
 	id, service string
 	server      *http.Server
 	listener    net.Listener
 	proxy       *toxiproxy.Proxy
-	// engine answers what is asked of a rank of a model group; nil for plain services.
+	// engine answers the requests to a rank of a model group; nil for plain services.
 	engine http.Handler
 
-	mu    sync.Mutex
-	rand  *rand.Rand
-	m     manners
-	ended bool
-	// draining is when the store took that the replica leaves; zero if it does not.
+	mu       sync.Mutex
+	rand     *rand.Rand
+	behavior behavior
+	ended    bool
+	// draining is when the store accepted that the replica leaves; zero if it does not leave.
 	draining time.Time
-	// state is that of its entry; empty if it has none.
+	// state is the state in its store entry; empty if it has no entry.
 	state string
-	// touch tells when the replica or its proxy was disturbed.
-	touch disturbances
-	// arrivals holds what came, and limits when the replica named which limits.
+	// disturbances holds when the replica or its proxy was disturbed.
+	disturbances disturbances
+	// arrivals holds the requests that arrived, and limits the limits that the replica reported.
 	arrivals []arrival
-	limits   []word
+	limits   []limitPeriod
 }
 
-// word is a limit that a replica named for a while.
-type word struct {
+// limitPeriod is a limit that a replica reported for some time.
+type limitPeriod struct {
 	from, to time.Time
 	limit    float64
 }
@@ -87,14 +92,14 @@
 	r.server = &http.Server{Handler: r}
 	go func() { _ = r.server.Serve(l) }()
 	r.proxy = w.newProxy("to "+r.id, l.Addr().String())
-	r.list("ready")
+	r.setState("ready")
 	w.mu.Lock()
 	w.all = append(w.all, r)
 	w.mu.Unlock()
 	return r
 }
 
-// newProxy puts a proxy before an address.
+// newProxy starts a proxy in front of an address.
 func (w *world) newProxy(name, address string) *toxiproxy.Proxy {
 	p := toxiproxy.NewProxy(w.proxies, name, w.ip+":0", address)
 	if err := p.Start(); err != nil {
@@ -107,9 +112,9 @@
 	return toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
 }
 
-// list writes the replica's entry to the store; an empty state takes it away.
-func (r *replica) list(state string) {
-	r.put(state)
+// setState writes the replica's entry to the store; an empty state removes the entry.
+func (r *replica) setState(state string) {
+	r.putEntry(state)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state = state
@@ -118,8 +123,8 @@
 	}
 }
 
-// put writes an entry to the store.
-func (r *replica) put(state string) {
+// putEntry writes an entry to the store.
+func (r *replica) putEntry(state string) {
 	entry := ""
 	if state != "" {
 		entry = fmt.Sprintf(`{"service":%q,"address":%q,"zone":"a","slots":6,"state":%q}`, r.service, r.proxy.Listen, state)
@@ -127,21 +132,21 @@
 	r.w.store.Put(replicaStream, r.id, entry)
 }
 
-// behave sets what the replica does from now on.
-func (r *replica) behave(m manners) {
+// setBehavior sets how the replica handles requests from now on.
+func (r *replica) setBehavior(m behavior) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.m.limit > 0 {
+	if r.behavior.limit > 0 {
 		r.limits[len(r.limits)-1].to = now
 	}
 	if m.limit > 0 {
-		r.limits = append(r.limits, word{from: now, limit: m.limit})
+		r.limits = append(r.limits, limitPeriod{from: now, limit: m.limit})
 	}
-	r.m = m
+	r.behavior = m
 }
 
-// crash ends the replica without a word.
+// crash ends the replica without notice.
 func (r *replica) crash() {
 	r.mu.Lock()
 	r.ended = true
@@ -149,7 +154,7 @@
 	_ = r.server.Close()
 }
 
-// ServeHTTP plays the replica.
+// ServeHTTP answers as the replica.
 func (r *replica) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if r.engine != nil && strings.HasPrefix(req.URL.Path, "/fawnwinch/") {
 		r.engine.ServeHTTP(w, req)
@@ -165,13 +170,13 @@
 		return
 	}
 	r.mu.Lock()
-	m := r.m
-	refused, lost, garbled := r.rand.Float64() < m.refuse, r.rand.Float64() < m.lose, r.rand.Float64() < m.garble
+	m := r.behavior
+	refused, lost, corrupted := r.rand.Float64() < m.refuseFraction, r.rand.Float64() < m.loseFraction, r.rand.Float64() < m.corruptFraction
 	r.arrivals = append(r.arrivals, arrival{at: time.Now(), id: id, run: !refused})
 	r.mu.Unlock()
 	w.Header().Set("X-Fawnwinch-Request-Id", id)
 	w.Header().Set("X-Replica", r.id)
-	r.w.arrived(r, id)
+	r.w.checkArrival(r, id)
 	if m.limit > 0 {
 		w.Header().Set("Server-Limit", strconv.FormatFloat(m.limit, 'f', -1, 64))
 	}
@@ -180,22 +185,22 @@
 	}
 	if refused {
 		w.Header().Set("X-Fawnwinch-Not-Executed", "1")
-		if m.rest > 0 {
-			r.w.rests(r, id, m.rest)
-			w.Header().Set("Retry-After", strconv.FormatFloat(m.rest.Seconds(), 'f', -1, 64))
+		if m.retryAfter > 0 {
+			r.w.recordBackOff(r, id, m.retryAfter)
+			w.Header().Set("Retry-After", strconv.FormatFloat(m.retryAfter.Seconds(), 'f', -1, 64))
 		}
 		w.WriteHeader(m.status)
 		return
 	}
-	r.w.ran(r, id, req, body)
-	time.Sleep(m.slow + time.Duration(r.draw(40))*time.Millisecond)
+	r.w.recordRun(r, id, req, body)
+	time.Sleep(m.delay + time.Duration(r.draw(40))*time.Millisecond)
 	switch {
 	case lost:
 		panic(http.ErrAbortHandler)
 	case r.engine != nil:
-		r.stream(w, req, id, garbled)
+		r.stream(w, req, id, corrupted)
 	default:
-		r.answer(w, id, garbled)
+		r.answer(w, id, corrupted)
 	}
 }
 
@@ -205,18 +210,18 @@
 	return r.rand.IntN(n)
 }
 
-// sealOf stands for an answer to a request.
+// sealOf returns the seal of an answer to a request.
 func sealOf(id string, body []byte) string {
 	return strconv.FormatUint(xxhash.Sum64String(id+"|"+string(body)), 16)
 }
 
-// answer sends an answer with a seal, or one that is spoilt in some way.
-func (r *replica) answer(w http.ResponseWriter, id string, garbled bool) {
+// answer sends an answer with a seal, or one that is corrupted in one of several ways.
+func (r *replica) answer(w http.ResponseWriter, id string, corrupted bool) {
 	body := bytes.Repeat([]byte(id+" by "+r.id+"\n"), 1+r.draw(300))
 	w.Header().Set("X-Fawnwinch-Response-Seal", sealOf(id, body))
-	if !garbled {
+	if !corrupted {
 		if _, err := w.Write(body); err == nil {
-			r.w.answered(id)
+			r.w.recordAnswer(id)
 		}
 		return
 	}
@@ -236,15 +241,15 @@
 // eventsOf is the number of events of the stream that answers a request.
 func eventsOf(id string) int { return 5 + int(xxhash.Sum64String(id)%12) }
 
-// stream sends the events of a stream, from the one after that which the caller has.
-func (r *replica) stream(w http.ResponseWriter, req *http.Request, id string, garbled bool) {
-	from, _ := strconv.Atoi(req.Header.Get("Last-Event-Id")) // none is 0
+// stream sends the events of a stream, starting after the last one that the caller has received.
+func (r *replica) stream(w http.ResponseWriter, req *http.Request, id string, corrupted bool) {
+	from, _ := strconv.Atoi(req.Header.Get("Last-Event-Id")) // 0 if absent
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("X-Fawnwinch-Response-Seal", "stream")
 	out := http.NewResponseController(w)
 	for n := from + 1; n <= eventsOf(id); n++ {
 		event := fmt.Sprintf("id: %d\ndata: %s/%d\n\n", n, id, n)
-		if garbled && n == from+3 {
+		if corrupted && n == from+3 {
 			_, _ = io.WriteString(w, event[:len(event)/2])
 			_ = out.Flush()
 			panic(http.ErrAbortHandler)
@@ -254,5 +259,5 @@
 		}
 		time.Sleep(15 * time.Millisecond)
 	}
-	r.w.answered(id)
+	r.w.recordAnswer(id)
 }
--- a/tests/soak/return_test.go
+++ b/tests/soak/return_test.go
@@ -10,37 +10,39 @@
 	"fawnwinch.org/fawnwinch/standin/metastore"
 )
 
-// rewriteMost bounds the time after a return of the store in which the operator and the replicas write again what was lost.
-const rewriteMost = 1500 * time.Millisecond
+// maxRewriteDelay bounds the time after a restore of the store within which the operator and the
+// replicas write the lost data again.
+const maxRewriteDelay = 1500 * time.Millisecond
 
-// comeBack has the store come back from a copy that is as old as the fault lasts, at once, after an outage, or twice, and with writes or
-// answers that are under way.
-func (w *world) comeBack(chance *rand.Rand, last time.Duration) {
+// restoreStore restores the store from a copy that is as old as the duration of the fault. It
+// restores immediately or after an outage, once or twice, and with writes or answers in progress.
+func (w *world) restoreStore(rng *rand.Rand, duration time.Duration) {
 	c := w.store.Copy()
-	pause(last)
-	defer w.storeTouch.begin()()
-	trouble := []metastore.Trouble{metastore.TroubleNone, metastore.TroubleBusy, metastore.TroubleSilent, metastore.TroubleSlow, metastore.TroubleLate}[chance.IntN(5)]
+	pause(duration)
+	defer w.storeDisturbances.begin()()
+	trouble := []metastore.Trouble{metastore.TroubleNone, metastore.TroubleBusy, metastore.TroubleSilent, metastore.TroubleSlow, metastore.TroubleLate}[rng.IntN(5)]
 	if trouble != metastore.TroubleNone {
 		w.store.Trouble(trouble)
-		pause(last / 2)
+		pause(duration / 2)
 	}
 	w.store.Return(c)
 	w.store.Trouble(metastore.TroubleNone)
-	if chance.IntN(3) == 0 {
-		pause(last / 4)
+	if rng.IntN(3) == 0 {
+		pause(duration / 4)
 		w.store.Return(c)
 	}
-	pause(time.Duration(chance.Int64N(int64(rewriteMost))))
+	pause(time.Duration(rng.Int64N(int64(maxRewriteDelay))))
 	w.rewrite()
 }
 
-// rewrite has the operator and the replicas write what they have written last. Replicas without an entry take theirs away again.
+// rewrite makes the operator and the replicas write their last data again. Replicas without an
+// entry remove theirs again.
 func (w *world) rewrite() {
 	for _, r := range w.allReplicas() {
 		r.mu.Lock()
 		state := r.state
 		r.mu.Unlock()
-		r.put(state)
+		r.putEntry(state)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -13,10 +13,11 @@
 )
 
 const (
-	// settle is the time after the last fault in which the system may recover, and watched that in which it has to serve.
-	settle  = 6 * time.Second
-	watched = 4 * time.Second
-	// startTime bounds the time in which routers take callers.
+	// recoveryTime is the time after the last fault in which the system may recover, and
+	// observedTime the time after that in which it must serve.
+	recoveryTime = 6 * time.Second
+	observedTime = 4 * time.Second
+	// startTime bounds the time until routers accept callers.
 	startTime = 30 * time.Second
 )
 
@@ -28,25 +29,25 @@
 	play(t, *seedFlag, *forFlag, *sizeFlag, faults)
 }
 
-// TestSoakFound plays again what has failed once.
+// TestSoakFound replays plans that have found a fault.
 func TestSoakFound(t *testing.T) {
 	cases := map[string]struct {
-		seed    uint64
-		last    time.Duration
-		routers int
-		faults  []fault
+		seed     uint64
+		duration time.Duration
+		routers  int
+		faults   []fault
 	}{
 		"seeds were read while a SIGHUP replaced them": {5, 40 * time.Second, 3, faults[:firstFaults]},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			play(t, c.seed, c.last, c.routers, c.faults)
+			play(t, c.seed, c.duration, c.routers, c.faults)
 		})
 	}
 }
 
-func play(t *testing.T, seed uint64, last time.Duration, routers int, plan []fault) {
+func play(t *testing.T, seed uint64, duration time.Duration, routers int, plan []fault) {
 	w := newWorld(t, seed, routers)
 	w.faults = plan
 	ctx, cancel := context.WithCancel(t.Context())
@@ -58,17 +59,18 @@
 	for n := range callerCount {
 		callers.Go(func() { w.caller(ctx, n) })
 	}
-	w.strike(ctx, time.Now().Add(last-settle-watched))
-	pause(settle)
-	quiet := time.Now()
-	pause(watched)
+	w.injectFaults(ctx, time.Now().Add(duration-recoveryTime-observedTime))
+	pause(recoveryTime)
+	quietSince := time.Now()
+	pause(observedTime)
 	cancel()
 	callers.Wait()
-	w.checkEnd(quiet)
+	w.checkFinal(quietSince)
 	w.report()
 }
 
-// report tells what was broken, with the plan and where the logs are; they are dropped if nothing was.
+// report reports the broken guarantees with the plan and the path of the logs, which are removed if
+// there are none.
 func (w *world) report() {
 	w.checkLogs()
 	w.mu.Lock()
@@ -80,7 +82,7 @@
 	w.t.Errorf("seed %d: %d promises broken, logs in %s\n%s\nfaults:\n%s", w.seed, len(w.failures), w.dir, strings.Join(w.failures[:min(len(w.failures), 40)], "\n"), strings.Join(w.events, "\n"))
 }
 
-// checkLogs looks for races and panics in the logs of the processes.
+// checkLogs searches the logs of the processes for races and panics.
 func (w *world) checkLogs() {
 	entries, err := os.ReadDir(w.dir)
 	if err != nil {
@@ -97,7 +99,7 @@
 		}
 		for _, bad := range []string{"DATA RACE", "panic: ", "fatal error: "} {
 			if strings.Contains(string(raw), bad) {
-				w.fail("%s has a %q", e.Name(), bad)
+				w.fail("%s contains %q", e.Name(), bad)
 			}
 		}
 	}
--- a/tests/soak/world_test.go
+++ b/tests/soak/world_test.go
@@ -26,21 +26,21 @@
 	"github.com/Shopify/toxiproxy/v2"
 )
 
-// The streams of the stand-in store that the soak writes.
+// Streams of the stand-in store that the soak writes to.
 const (
 	operatorStream = "keyed.op"
 	replicaStream  = "keyed.servers"
 )
 
-// The users' bounds, as the settings of the tests name them.
+// Time bounds that the users require, as in the settings of the tests.
 const (
-	contact    = 3 * time.Second
-	applyTime  = 2 * time.Second
-	drainTime  = 2 * time.Second
-	graceTime  = 8 * time.Second
-	revokeTime = 5 * time.Second
-	// late is what the checks allow for the way of a request and for a busy machine.
-	late = 500 * time.Millisecond
+	contactTime = 3 * time.Second
+	applyTime   = 2 * time.Second
+	drainTime   = 2 * time.Second
+	graceTime   = 8 * time.Second
+	revokeTime  = 5 * time.Second
+	// tolerance is what the checks allow for the transit time of a request and for a busy machine.
+	tolerance = 500 * time.Millisecond
 )
 
 const (
@@ -49,16 +49,16 @@
 	firstPort     = 22000
 )
 
-// router is a router process with its addresses and its own way to the store.
+// router is a router process with its addresses and its own proxy to the store.
 type router struct {
 	*process
 	front, ready, control, directory, settings string
 	store                                      *toxiproxy.Proxy
-	// starts counts the times that it was started anew.
+	// starts counts its restarts.
 	starts int
 }
 
-// world is everything that a soak runs.
+// world holds everything that a soak runs.
 type world struct {
 	t     *testing.T
 	seed  uint64
@@ -66,15 +66,15 @@
 	ip    string
 	dir   string
 	store *metastore.Store
-	// storeAddress is where the store listens, storeTouch when it was in trouble.
-	storeAddress string
-	storeTouch   disturbances
-	proxies      *toxiproxy.ApiServer
-	routers      []*router
-	agents       []*process
-	group        *rankgroup.Group
+	// storeAddress is where the store listens, and storeDisturbances when it was disturbed.
+	storeAddress      string
+	storeDisturbances disturbances
+	proxies           *toxiproxy.ApiServer
+	routers           []*router
+	agents            []*process
+	group             *rankgroup.Group
 
-	// faults are those that may strike.
+	// faults are the faults that may be injected.
 	faults []fault
 
 	mu       sync.Mutex
@@ -82,26 +82,27 @@
 	all      []*replica
 	port     int
 	calls    map[string]*call
-	// ended holds the calls that have ended, in their order.
+	// ended holds the calls that have ended, in order.
 	ended    []*call
 	failures []string
 	events   []string
 	configs  []config
 	// newest is the text of the newest configuration.
 	newest string
-	// bonds holds by which words of replicas routers are bound, and resting how many requests came in each rest.
-	bonds   map[bondKey]bond
-	resting map[bondKey]int
+	// obligations holds the notices of replicas that oblige routers, and backOffRequests the number
+	// of requests that arrived during each requested back-off.
+	obligations     map[obligationKey]obligation
+	backOffRequests map[obligationKey]int
 }
 
-// fail notes a broken promise.
+// fail records a broken guarantee.
 func (w *world) fail(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failures = append(w.failures, fmt.Sprintf("%6.2f s: %s", time.Since(w.begun).Seconds(), fmt.Sprintf(format, args...)))
 }
 
-// note notes a fault.
+// note records the start or the end of a fault.
 func (w *world) note(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -118,7 +119,7 @@
 	w := &world{
 		t: t, seed: seed, begun: time.Now(), ip: fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, 200+seed/250%50, 1+seed%250), dir: dir,
 		store: metastore.New(), proxies: newProxyServer(), calls: map[string]*call{}, port: firstPort,
-		bonds: map[bondKey]bond{}, resting: map[bondKey]int{},
+		obligations: map[obligationKey]obligation{}, backOffRequests: map[obligationKey]int{},
 	}
 	s := httptest.NewServer(w.store)
 	w.storeAddress = strings.TrimPrefix(s.URL, "http://")
@@ -186,7 +187,7 @@
 
 func (w *world) newAgent(name, engine string) *process {
 	_, text, _ := net.SplitHostPort(w.address())
-	port, _ := strconv.Atoi(text) // the address was made of a number
+	port, _ := strconv.Atoi(text) // the address was built from a number
 	settings := w.write(name, platformtest.NodeFile{Name: name, IP: w.ip, Zone: "a", Ports: [2]int{port, port}, App: engine, Service: "pool", Store: w.storeAddress})
 	p := &process{w: w, name: name, args: []string{"platform", "agent", "-c", settings}, logs: filepath.Join(w.dir, name+".log")}
 	p.start()
@@ -201,15 +202,16 @@
 	return path
 }
 
-// config is one configuration and when the store took it.
+// config is one configuration and when the store accepted it.
 type config struct {
-	version int
-	at      time.Time
-	// key is the key that came with the version; it is taken away two versions later, and so is the route to probe the version.
+	version  int
+	storedAt time.Time
+	// key is the key that was added with the version. Both the key and the route that probes the
+	// version are removed keptVersions versions later.
 	key string
 }
 
-// keptVersions is the number of versions for which a key and a probing route stay in force.
+// keptVersions is the number of versions for which a key and a probe route stay in force.
 const keptVersions = 3
 
 // newConfig puts the next configuration in force.
@@ -225,12 +227,12 @@
 		keys = append(keys, old.key)
 		routes = append(routes, route(probeOf(old.version), "safe", "ledger", 2))
 	}
-	list, _ := json.Marshal(keys) // strings
+	list, _ := json.Marshal(keys) // strings always marshal
 	w.newest = fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":"ledger"},{"name":"pool","engine":{"slots":12,"stride":4,"step_ms":4.5,"per_seq_ms":0.9,
 	"read_per_s":60000,"chunk":512,"usual":{"prompt":800,"answer":40},"sets":2,"experts":12,"places":6,"spare":2,"expert_mb":1,"expert_share":0.85,"form_ms":600}}],
 	"limits":{"maxBodyBytes":100000},"tenants":[{"name":"seiryu","apiKeys":%s}]}`, c.version, strings.Join(routes, ","), list)
 	w.store.Put(operatorStream, "config", w.newest)
-	c.at = time.Now()
+	c.storedAt = time.Now()
 	w.configs = append(w.configs, c)
 }
 
@@ -241,17 +243,18 @@
 		name, name, kind, service, attempts, kind == "streaming")
 }
 
-// gone returns when the store took the configuration that no longer has what came with a version; false while it has.
-func (w *world) gone(version int) (time.Time, bool) {
+// removedAt returns when the store accepted the configuration that removed what a version had
+// added; false if none has.
+func (w *world) removedAt(version int) (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if i := version + keptVersions - 1; i < len(w.configs) {
-		return w.configs[i].at, true
+		return w.configs[i].storedAt, true
 	}
 	return time.Time{}, false
 }
 
-// ready waits until all routers take callers.
+// ready waits until all routers accept callers.
 func (w *world) ready(ctx context.Context) {
 	for _, r := range w.routers {
 		for ctx.Err() == nil && !r.isReady(ctx) {
@@ -273,5 +276,5 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// chance returns a source of numbers for one part of the soak.
-func (w *world) chance(part uint64) *rand.Rand { return rand.New(rand.NewPCG(w.seed, part)) }
+// newRand returns a random source for one part of the soak.
+func (w *world) newRand(part uint64) *rand.Rand { return rand.New(rand.NewPCG(w.seed, part)) }
