--- a/tests/replay/crash_test.go
+++ b/tests/replay/crash_test.go
@@ -19,39 +19,43 @@
 )
 
 const (
-	// crashRanks and crashRouters are the sizes of the model of a group whose ranks end.
+	// crashRanks and crashRouters are the sizes of the modelled group and of its set of routers.
 	crashRanks, crashRouters = 12, 6
-	// cutAfter is how long after the end of a rank the others break off what they run, and reformed when the group serves again.
-	cutAfter, reformed = 1500 * time.Millisecond, 3700 * time.Millisecond
-	// learnTime is the time in which every router must know of a request that has crashed three upstreams, and mostAfter how often it
-	// may still be sent later.
-	learnTime = 3 * time.Second
-	mostAfter = 3
-	// crashTime is how long after its begin a request at fault crashes its rank.
-	crashTime = 100 * time.Millisecond
-	// faulty is the content of the request at fault, and hot one that many callers ask for.
+	// abortDelay is the time from the crash of a rank until the other ranks abort their requests,
+	// and recoveryTime the time until the group serves again.
+	abortDelay, recoveryTime = 1500 * time.Millisecond, 3700 * time.Millisecond
+	// learnTime is the time within which every router must know of a request that has crashed three
+	// upstreams, and maxLateSends how often it may still be sent after that.
+	learnTime    = 3 * time.Second
+	maxLateSends = 3
+	// crashDelay is the time from the first output of the faulty request until it crashes its rank.
+	crashDelay = 100 * time.Millisecond
+	// faulty is the content of the request that crashes ranks, and hot the content that many
+	// callers request.
 	faulty, hot request.Digest = 1, 2
-	// playTime is how long callers come.
-	playTime = 60 * time.Second
+	// loadDuration is how long new callers arrive.
+	loadDuration = 60 * time.Second
 )
 
-// crashPattern is a load on a group whose ranks end.
+// crashPattern is a load on a group whose ranks crash.
 type crashPattern struct {
-	// hotPart is the part of the requests that ask for the same from hotFrom on, and again how often the caller of one that failed
-	// comes again.
-	hotPart float64
-	hotFrom time.Duration
-	again   int
-	// chance holds when ranks end by themselves, and how many at once.
-	chance map[time.Duration]int
-	// faults holds the tries of the request at fault, each at some router.
+	// hotFraction is the fraction of the requests that have the hot content from hotFrom on, and
+	// retries how often a caller retries a failed request.
+	hotFraction float64
+	hotFrom     time.Duration
+	retries     int
+	// crashes holds the times at which ranks crash for other reasons than a request, and how many
+	// crash at once.
+	crashes map[time.Duration]int
+	// faults holds the times at which the faulty request is sent, each time through a random
+	// router.
 	faults []time.Duration
-	// resets holds when all connections are reset although every rank lives.
+	// resets holds the times at which all connections are reset although every rank keeps running.
 	resets []time.Duration
 }
 
-// tries returns the times of some tries.
-func tries(from, every time.Duration, n int) []time.Duration {
+// attemptTimes returns the times of n attempts at a fixed interval.
+func attemptTimes(from, every time.Duration, n int) []time.Duration {
 	var out []time.Duration
 	for i := range n {
 		out = append(out, from+time.Duration(i)*every)
@@ -59,45 +63,46 @@
 	return out
 }
 
-// crashRun is a try that runs at a rank.
+// crashRun is an attempt that runs at a rank.
 type crashRun struct {
 	content     request.Digest
 	router      int
-	again       int
+	retries     int
 	sent, first time.Duration
-	over        bool
+	done        bool
 }
 
-// crashRank is one rank; number tells its runs apart.
+// crashRank is one rank; incarnation identifies the current run of its process.
 type crashRank struct {
-	number int
-	runs   []*crashRun
+	incarnation int
+	runs        []*crashRun
 }
 
-// crashWorld plays a pattern on virtual time.
+// crashWorld simulates a pattern on virtual time.
 type crashWorld struct {
-	p       crashPattern
-	chance  *rand.Rand
-	now     time.Duration
-	queue   eventQueue
-	seq     int
-	routers [crashRouters]*quarantine.Register
-	marks   [crashRouters][crashRouters]peer.Mark
-	ranks   [crashRanks]*crashRank
-	started int
-	// openAt is when the group serves again.
+	p          crashPattern
+	rng        *rand.Rand
+	now        time.Duration
+	queue      eventQueue
+	seq        int
+	routers    [crashRouters]*quarantine.Register
+	watermarks [crashRouters][crashRouters]peer.Mark
+	ranks      [crashRanks]*crashRank
+	started    int
+	// openAt is the time from which the group serves again.
 	openAt time.Duration
 	next   request.Digest
-	// ends holds when ranks ended under the request at fault.
-	ends []time.Duration
-	// late counts the sends of the request at fault that came too late, refused the tries of others that were refused, and held
-	// those that were put off because the same ran already; served counts those that were answered.
-	late, refused, held, served int
+	// crashTimes holds the times at which the faulty request crashed a rank.
+	crashTimes []time.Duration
+	// lateSends counts the sends of the faulty request after learnTime, refused the refused
+	// attempts of other requests, held those postponed because the same content was already
+	// running, and served the completed ones.
+	lateSends, refused, held, served int
 }
 
-var crashBegun = time.Unix(1_800_000_000, 0)
+var crashStart = time.Unix(1_800_000_000, 0)
 
-func (w *crashWorld) time() time.Time { return crashBegun.Add(w.now) }
+func (w *crashWorld) time() time.Time { return crashStart.Add(w.now) }
 
 func (w *crashWorld) after(d time.Duration, f func()) {
 	w.seq++
@@ -105,20 +110,20 @@
 }
 
 func playCrashes(p crashPattern, seed uint64) *crashWorld {
-	w := &crashWorld{p: p, chance: rand.New(rand.NewPCG(seed, 0)), next: 100}
+	w := &crashWorld{p: p, rng: rand.New(rand.NewPCG(seed, 0)), next: 100}
 	for i := range w.routers {
-		w.routers[i] = quarantine.NewRegister(crashBegun.Add(time.Duration(i)))
+		w.routers[i] = quarantine.NewRegister(crashStart.Add(time.Duration(i)))
 	}
 	for i := range w.ranks {
 		w.start(i)
 	}
 	w.arrive()
-	w.greet()
-	for _, at := range slices.Sorted(maps.Keys(p.chance)) {
-		n := p.chance[at]
+	w.gossip()
+	for _, at := range slices.Sorted(maps.Keys(p.crashes)) {
+		n := p.crashes[at]
 		w.after(at, func() {
 			for i := range n {
-				w.end(i)
+				w.crash(i)
 			}
 		})
 	}
@@ -126,11 +131,11 @@
 		w.after(at, func() { w.try(faulty, 0) })
 	}
 	for _, at := range p.resets {
-		w.after(at, w.cut)
+		w.after(at, w.abortAll)
 	}
 	for w.queue.Len() > 0 {
 		e := heap.Pop(&w.queue).(event)
-		w.now = e.at.Sub(crashBegun)
+		w.now = e.at.Sub(crashStart)
 		e.run()
 	}
 	return w
@@ -138,37 +143,37 @@
 
 func (w *crashWorld) start(i int) {
 	w.started++
-	w.ranks[i] = &crashRank{number: w.started}
+	w.ranks[i] = &crashRank{incarnation: w.started}
 }
 
-// arrive has a caller come, and the next one later.
+// arrive simulates the arrival of a caller and schedules the next one.
 func (w *crashWorld) arrive() {
-	if w.now > playTime {
+	if w.now > loadDuration {
 		return
 	}
 	content := hot
-	if w.chance.Float64() >= w.p.hotPart || w.now < w.p.hotFrom {
+	if w.rng.Float64() >= w.p.hotFraction || w.now < w.p.hotFrom {
 		w.next++
 		content = w.next
 	}
-	w.try(content, w.p.again)
-	w.after(time.Duration(w.chance.ExpFloat64()*float64(18*time.Millisecond)), w.arrive)
+	w.try(content, w.p.retries)
+	w.after(time.Duration(w.rng.ExpFloat64()*float64(18*time.Millisecond)), w.arrive)
 }
 
-// greet has routers tell each other what is new, now and then.
-func (w *crashWorld) greet() {
+// gossip sends the new entries of each router to a random router, every 200 ms.
+func (w *crashWorld) gossip() {
 	for from, r := range w.routers {
-		to := w.chance.IntN(crashRouters)
-		told := r.Since(w.time(), w.marks[to][from])
-		w.marks[to][from] = r.Mark()
+		to := w.rng.IntN(crashRouters)
+		updates := r.Since(w.time(), w.watermarks[to][from])
+		w.watermarks[to][from] = r.Mark()
 		w.after(5*time.Millisecond, func() {
-			for _, c := range told {
+			for _, c := range updates {
 				w.routers[to].Add(w.time(), c)
 			}
 		})
 	}
-	if w.now < playTime {
-		w.after(200*time.Millisecond, w.greet)
+	if w.now < loadDuration {
+		w.after(200*time.Millisecond, w.gossip)
 	}
 }
 
@@ -176,14 +181,14 @@
 	return quarantine.Key{Account: "x", Digest: content}
 }
 
-// try sends a request by some router to some rank.
-func (w *crashWorld) try(content request.Digest, again int) {
-	router := w.chance.IntN(crashRouters)
+// try sends a request through a random router to a random rank.
+func (w *crashWorld) try(content request.Digest, retries int) {
+	router := w.rng.IntN(crashRouters)
 	v := w.routers[router].Judge(w.time(), w.key(content))
 	running := false
 	for _, r := range w.ranks {
 		for _, run := range r.runs {
-			running = running || !run.over && run.content == content && run.router == router
+			running = running || !run.done && run.content == content && run.router == router
 		}
 	}
 	switch {
@@ -198,89 +203,91 @@
 		}
 		return
 	case w.now < w.openAt:
-		w.comeAgain(content, again) // the group does not run it
+		w.retry(content, retries) // the group is not serving
 		return
 	}
-	if content == faulty && len(w.ends) >= 3 && w.now-w.ends[2] > learnTime {
-		w.late++
+	if content == faulty && len(w.crashTimes) >= 3 && w.now-w.crashTimes[2] > learnTime {
+		w.lateSends++
 	}
-	at := w.chance.IntN(crashRanks)
-	run := &crashRun{content: content, router: router, again: again, sent: w.now}
+	at := w.rng.IntN(crashRanks)
+	run := &crashRun{content: content, router: router, retries: retries, sent: w.now}
 	rank := w.ranks[at]
 	rank.runs = append(rank.runs, run)
-	first := time.Duration(50+w.chance.IntN(200)) * time.Millisecond
+	first := time.Duration(50+w.rng.IntN(200)) * time.Millisecond
 	w.after(first, func() { run.first = w.now })
 	if content == faulty {
-		w.after(first+crashTime, func() {
-			if !run.over && w.ranks[at] == rank {
-				w.ends = append(w.ends, w.now)
-				w.end(at)
+		w.after(first+crashDelay, func() {
+			if !run.done && w.ranks[at] == rank {
+				w.crashTimes = append(w.crashTimes, w.now)
+				w.crash(at)
 			}
 		})
 		return
 	}
-	w.after(first+time.Duration(600+w.chance.IntN(1400))*time.Millisecond, func() {
-		if run.over || w.now < w.openAt {
-			return // it stands still, and breaks off
+	w.after(first+time.Duration(600+w.rng.IntN(1400))*time.Millisecond, func() {
+		if run.done || w.now < w.openAt {
+			return // the group stalls and aborts the request
 		}
-		run.over = true
+		run.done = true
 		w.served++
 		w.routers[router].Ran(w.time(), w.key(content), quarantine.Finished)
 	})
 }
 
-func (w *crashWorld) comeAgain(content request.Digest, again int) {
-	if again > 0 {
-		w.after(time.Duration(200+w.chance.IntN(1500))*time.Millisecond, func() { w.try(content, again-1) })
+func (w *crashWorld) retry(content request.Digest, retries int) {
+	if retries > 0 {
+		w.after(time.Duration(200+w.rng.IntN(1500))*time.Millisecond, func() { w.try(content, retries-1) })
 	}
 }
 
-// lasted returns how long the answer of a run has been coming.
-func (w *crashWorld) lasted(run *crashRun) time.Duration {
+// answerTime returns how long the answer of a run has been arriving.
+func (w *crashWorld) answerTime(run *crashRun) time.Duration {
 	if run.first == 0 {
 		return 0
 	}
 	return w.now - run.first
 }
 
-// end ends a rank: routers find that nobody listens there. The group stands still, and the other ranks break off what they run.
-func (w *crashWorld) end(at int) {
+// crash ends a rank, and routers get connection refused there. The group stalls, and the other
+// ranks abort their requests.
+func (w *crashWorld) crash(at int) {
 	rank := w.ranks[at]
 	for _, run := range rank.runs {
-		if run.over {
+		if run.done {
 			continue
 		}
-		run.over = true
+		run.done = true
 		w.routers[run.router].Add(w.time(), quarantine.Crash{
-			Key: w.key(run.content), Run: upstream.Run{ID: upstream.ID(fmt.Sprint(rank.number))}, Ran: w.now - run.sent, Lasted: w.lasted(run),
+			Key: w.key(run.content), Run: upstream.Run{ID: upstream.ID(fmt.Sprint(rank.incarnation))}, Ran: w.now - run.sent, Lasted: w.answerTime(run),
 		})
-		w.comeAgain(run.content, run.again)
+		w.retry(run.content, run.retries)
 	}
-	w.openAt = w.now + reformed
+	w.openAt = w.now + recoveryTime
 	w.start(at)
-	w.after(cutAfter, w.cut)
+	w.after(abortDelay, w.abortAll)
 }
 
-// cut breaks off all runs. The ranks live, which their next answers show.
-func (w *crashWorld) cut() {
+// abortAll aborts all runs. The ranks stay alive, which their next answers show.
+func (w *crashWorld) abortAll() {
 	for _, rank := range w.ranks {
 		for _, run := range rank.runs {
-			if run.over {
+			if run.done {
 				continue
 			}
-			run.over = true
-			if lasted := w.lasted(run); lasted > 0 {
+			run.done = true
+			if lasted := w.answerTime(run); lasted > 0 {
 				w.after(time.Second, func() { w.routers[run.router].Ran(w.time(), w.key(run.content), lasted) })
 			}
-			w.comeAgain(run.content, run.again)
+			w.retry(run.content, run.retries)
 		}
 		rank.runs = nil
 	}
 }
 
-// TestCrashErrors counts both errors that routers can make when upstreams end in the middle of requests: the request at fault is sent on,
-// or another one is refused. A rank runs several requests when it ends, many callers may ask for the same, and those that failed come
-// again, so an end alone says little; but a request that is at fault never comes to its end anywhere.
+// TestCrashErrors counts both errors that routers can make when upstreams crash during requests:
+// they keep sending the faulty request, or they refuse another one. A crash alone is weak evidence:
+// a rank runs several requests when it crashes, many callers may send the same content, and failed
+// requests are retried. But the faulty request never completes anywhere.
 func TestCrashErrors(t *testing.T) {
 	series := map[time.Duration]int{}
 	for at := 5 * time.Second; at < 55*time.Second; at += 4 * time.Second {
@@ -290,32 +297,32 @@
 	racks := map[time.Duration]int{5 * time.Second: 4, 15 * time.Second: 4, 25 * time.Second: 4, 35 * time.Second: 4}
 	every := 4500 * time.Millisecond
 	cases := map[string]crashPattern{
-		"ends by chance in series":                            {again: 4, chance: series},
-		"ends by chance in series, many ask for the same":     {again: 4, hotPart: 0.5, chance: series},
-		"ends by chance in series, many begin to ask for it":  {again: 4, hotPart: 0.5, hotFrom: 6 * time.Second, chance: series},
-		"racks lose power, many ask for the same":             {again: 4, hotPart: 0.3, chance: racks},
-		"all ranks end twice, many ask for the same":          {again: 4, hotPart: 0.3, chance: map[time.Duration]int{5 * time.Second: crashRanks, 12 * time.Second: crashRanks}},
-		"connections are reset":                               {again: 4, hotPart: 0.3, resets: tries(time.Second, 1500*time.Millisecond, 30)},
-		"a request at fault":                                  {again: 1, faults: tries(5*time.Second, every, 10)},
-		"a request at fault, two at a time":                   {again: 1, faults: append(tries(5*time.Second, every, 10), tries(5*time.Second, every, 10)...)},
-		"a request at fault, three at a time":                 {again: 1, faults: append(tries(5*time.Second, every, 10), append(tries(5*time.Second, every, 10), tries(5*time.Second, every, 10)...)...)},
-		"a request at fault, often":                           {again: 1, faults: tries(5*time.Second, 300*time.Millisecond, 100)},
-		"a request at fault, many others ask for the same":    {again: 4, hotPart: 0.5, faults: tries(5*time.Second, every, 10)},
-		"a request at fault among ends by chance":             {again: 4, hotPart: 0.3, faults: tries(11*time.Second, every, 10), chance: sparse},
-		"a request at fault while connections are reset, hot": {again: 4, hotPart: 0.3, faults: tries(5*time.Second, every, 10), resets: tries(time.Second, 1500*time.Millisecond, 30)},
+		"unrelated crashes in series":                                       {retries: 4, crashes: series},
+		"unrelated crashes in series, many requests alike":                  {retries: 4, hotFraction: 0.5, crashes: series},
+		"unrelated crashes in series, many requests become alike":           {retries: 4, hotFraction: 0.5, hotFrom: 6 * time.Second, crashes: series},
+		"racks lose power, many requests alike":                             {retries: 4, hotFraction: 0.3, crashes: racks},
+		"all ranks crash twice, many requests alike":                        {retries: 4, hotFraction: 0.3, crashes: map[time.Duration]int{5 * time.Second: crashRanks, 12 * time.Second: crashRanks}},
+		"connections are reset":                                             {retries: 4, hotFraction: 0.3, resets: attemptTimes(time.Second, 1500*time.Millisecond, 30)},
+		"a faulty request":                                                  {retries: 1, faults: attemptTimes(5*time.Second, every, 10)},
+		"a faulty request, two at a time":                                   {retries: 1, faults: append(attemptTimes(5*time.Second, every, 10), attemptTimes(5*time.Second, every, 10)...)},
+		"a faulty request, three at a time":                                 {retries: 1, faults: append(attemptTimes(5*time.Second, every, 10), append(attemptTimes(5*time.Second, every, 10), attemptTimes(5*time.Second, every, 10)...)...)},
+		"a faulty request, often":                                           {retries: 1, faults: attemptTimes(5*time.Second, 300*time.Millisecond, 100)},
+		"a faulty request, many other requests alike":                       {retries: 4, hotFraction: 0.5, faults: attemptTimes(5*time.Second, every, 10)},
+		"a faulty request among unrelated crashes":                          {retries: 4, hotFraction: 0.3, faults: attemptTimes(11*time.Second, every, 10), crashes: sparse},
+		"a faulty request while connections are reset, many requests alike": {retries: 4, hotFraction: 0.3, faults: attemptTimes(5*time.Second, every, 10), resets: attemptTimes(time.Second, 1500*time.Millisecond, 30)},
 	}
 	const seeds = 20
 	for name, p := range cases {
 		t.Run(name, func(t *testing.T) {
-			var ends, late, refused, held, served int
+			var crashes, lateSends, refused, held, served int
 			for seed := range uint64(seeds) {
 				w := playCrashes(p, seed)
-				if w.late > mostAfter || w.refused > 0 {
-					t.Errorf("seed %d: sent %d times too late (%d at most), %d tries refused of requests that are not at fault", seed, w.late, mostAfter, w.refused)
+				if w.lateSends > maxLateSends || w.refused > 0 {
+					t.Errorf("seed %d: faulty request sent %d times too late (at most %d allowed), %d attempts of other requests refused", seed, w.lateSends, maxLateSends, w.refused)
 				}
-				ends, late, refused, held, served = ends+len(w.ends), late+w.late, refused+w.refused, held+w.held, served+w.served
+				crashes, lateSends, refused, held, served = crashes+len(w.crashTimes), lateSends+w.lateSends, refused+w.refused, held+w.held, served+w.served
 			}
-			t.Logf("of %d plays: %.1f ends under the request at fault, %.2f sends too late; of others %d served, %d refused, %d held back", seeds, float64(ends)/seeds, float64(late)/seeds, served, refused, held)
+			t.Logf("%d runs: %.1f crashes by the faulty request, %.2f late sends; other requests: %d served, %d refused, %d held back", seeds, float64(crashes)/seeds, float64(lateSends)/seeds, served, refused, held)
 		})
 	}
 }
--- a/tests/replay/group_test.go
+++ b/tests/replay/group_test.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package replay plays load against the decisions of routers and coordinators, with a model of a model group: who gets a
-// place, who waits, who is rejected and when callers come back. Everything happens on virtual time.
+// Package replay simulates load against the decisions of routers and coordinators, with a model of
+// a model group: which requests are admitted, wait or are rejected, and when callers retry.
+// Everything runs on virtual time.
 package replay
 
 import (
@@ -12,55 +13,58 @@
 	"fawnwinch.org/fawnwinch/services/balance"
 )
 
-// stream is one caller's request on its way.
+// stream is one caller's request that was sent to a rank.
 type stream struct {
 	caller *caller
 	router *router
 	rank   int
-	// engine is the group of the rank, and place that of the rank there.
+	// engine is the group of the rank, and index the position of the rank in it.
 	engine *engine
-	place  int
-	// unread is the part of the prompt that the rank has not read, in tokens; left the events that are still to come.
-	unread float64
-	left   int
-	begun  bool
+	index  int
+	// unread is the number of prompt tokens that the rank has not read yet, and remaining the
+	// number of events still to be sent.
+	unread    float64
+	remaining int
+	started   bool
 	// sent is when the request was sent to its rank.
 	sent time.Time
 }
 
-// engine is the model of a group: all ranks make passes together, of a length that follows from their load.
+// engine is the model of a group: all ranks run their passes together, and the load determines the
+// length of a pass.
 type engine struct {
-	figures *catalog.Engine
-	queue   int
-	ranks   []engineRank
-	// skew tells the load of the heaviest rank against the mean at a time.
+	params *catalog.Engine
+	queue  int
+	ranks  []engineRank
+	// skew returns the ratio of the heaviest rank's load to the mean at a time.
 	skew func(at time.Duration) float64
-	// pace tells how many times slower than usual a rank is at a time.
+	// pace returns how many times slower than usual a rank is at a time.
 	pace func(rank int, at time.Duration) float64
-	// passing says that a pass is under way.
-	passing bool
+	// inPass reports whether a pass is running.
+	inPass  bool
 	longest time.Duration
 }
 
 type engineRank struct{ running, waiting []*stream }
 
-// take gives a request to a rank, or returns false if its queue is full.
-func (e *engine) take(s *stream) bool {
-	r := &e.ranks[s.place]
-	if len(r.running)+len(r.waiting) >= e.figures.Slots+e.queue {
+// enqueue adds a request to the queue of its rank, or returns false if the queue is full.
+func (e *engine) enqueue(s *stream) bool {
+	r := &e.ranks[s.index]
+	if len(r.running)+len(r.waiting) >= e.params.Slots+e.queue {
 		return false
 	}
 	r.waiting = append(r.waiting, s)
 	return true
 }
 
-// begin lets waiting requests in and returns the length of the next pass; 0 if there is nothing to do.
-func (e *engine) begin(at time.Duration) time.Duration {
-	load := balance.PassLoad{Context: e.figures.UsualPrompt, Skew: e.skew(at), Pace: 1}
+// beginPass admits waiting requests and returns the length of the next pass; 0 if there is nothing
+// to do.
+func (e *engine) beginPass(at time.Duration) time.Duration {
+	load := balance.PassLoad{Context: e.params.UsualPrompt, Skew: e.skew(at), Pace: 1}
 	busy := false
 	for i := range e.ranks {
 		r := &e.ranks[i]
-		for len(r.waiting) > 0 && len(r.running) < e.figures.Slots {
+		for len(r.waiting) > 0 && len(r.running) < e.params.Slots {
 			r.running = append(r.running, r.waiting[0])
 			r.waiting = r.waiting[1:]
 		}
@@ -81,28 +85,28 @@
 	if !busy {
 		return 0
 	}
-	return balance.Pass(e.figures, load)
+	return balance.Pass(e.params, load)
 }
 
-// end ends a pass: it returns the streams that get an event.
-func (e *engine) end() []*stream {
+// endPass completes a pass and returns the streams that get an event.
+func (e *engine) endPass() []*stream {
 	var out []*stream
 	for i := range e.ranks {
 		r := &e.ranks[i]
-		most := float64(e.figures.Chunk * e.figures.Stride)
+		tokens := float64(e.params.Chunk * e.params.Stride)
 		kept := r.running[:0]
 		for _, s := range r.running {
 			if s.unread > 0 {
-				read := min(s.unread, most)
-				s.unread, most = s.unread-read, most-read
+				read := min(s.unread, tokens)
+				s.unread, tokens = s.unread-read, tokens-read
 				if s.unread > 0 {
 					kept = append(kept, s)
 					continue
 				}
 			}
-			s.left--
+			s.remaining--
 			out = append(out, s)
-			if s.left > 0 {
+			if s.remaining > 0 {
 				kept = append(kept, s)
 			}
 		}
@@ -111,9 +115,9 @@
 	return out
 }
 
-// drop takes a stream out whose caller has left.
-func (e *engine) drop(s *stream) {
-	r := &e.ranks[s.place]
+// remove removes a stream whose caller has disconnected.
+func (e *engine) remove(s *stream) {
+	r := &e.ranks[s.index]
 	without := func(list []*stream) []*stream {
 		var out []*stream
 		for _, o := range list {
@@ -126,20 +130,20 @@
 	r.running, r.waiting = without(r.running), without(r.waiting)
 }
 
-// load returns what the rank's engine tells: a request counts as running from its first event.
+// load returns what the rank's engine reports: a request counts as running from its first event.
 func (e *engine) load(rank int, at time.Duration) (running, waiting int, pace float64) {
 	for _, s := range e.ranks[rank].running {
-		if s.begun {
+		if s.started {
 			running++
 		}
 	}
 	return running, len(e.ranks[rank].waiting), e.pace(rank, at)
 }
 
-// free reports whether a rank has a slot that nobody takes.
-func (e *engine) free() bool {
+// hasFreeSlot reports whether a rank has an unused slot.
+func (e *engine) hasFreeSlot() bool {
 	for i := range e.ranks {
-		if len(e.ranks[i].running)+len(e.ranks[i].waiting) < e.figures.Slots {
+		if len(e.ranks[i].running)+len(e.ranks[i].waiting) < e.params.Slots {
 			return true
 		}
 	}
--- a/tests/replay/limit_test.go
+++ b/tests/replay/limit_test.go
@@ -20,47 +20,50 @@
 )
 
 const (
-	// contact is the time from the first word of a limit in which routers may send more, and told how long after a router has passed a word
-	// on it is bound by it.
-	contact = 3 * time.Second
-	told    = 500 * time.Millisecond
-	// limitWindow, limitFactor and limitSlack bound what an upstream with a limit gets from routers that it has told.
+	// limitGrace is the time after the first notice of a limit during which routers may exceed it,
+	// and bindingDelay the time from when a router learned of a limit until the limit binds it.
+	limitGrace   = 3 * time.Second
+	bindingDelay = 500 * time.Millisecond
+	// limitWindow, limitFactor and limitSlack bound the requests that an upstream with a limit gets
+	// from routers that know of the limit.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// limitedFrom is when upstreams begin to name limits, and limitPlay how long callers come.
-	limitedFrom = 2 * time.Second
-	limitPlay   = 60 * time.Second
-	// plainWork is the mean time that an upstream works on a request.
-	plainWork = 60 * time.Millisecond
+	// limitedFrom is when upstreams start to report limits, and limitDuration how long callers
+	// arrive.
+	limitedFrom   = 2 * time.Second
+	limitDuration = 60 * time.Second
+	// meanWork is the mean time that an upstream works on a request.
+	meanWork = 60 * time.Millisecond
 )
 
-// limitPattern is a load before upstreams of which some name limits.
+// limitPattern is a load on upstreams of which some report limits.
 type limitPattern struct {
 	routers, upstreams, limited int
-	// demand is the number of requests that come in a second; those of a few routers only if few is set.
-	demand float64
-	few    int
-	// limit returns the limit that an upstream names at a time; 0 for none.
+	// demand is the number of requests per second. If activeRouters is set, callers use only that
+	// many routers.
+	demand        float64
+	activeRouters int
+	// limit returns the limit that an upstream reports at a time; 0 for none.
 	limit func(at time.Duration) float64
-	// faults are what befalls routers at a time.
+	// faults are the faults injected into routers, by time.
 	faults map[time.Duration]func(w *limitWorld)
 }
 
-// limitRouter is one router of the model.
+// limitRouter is one router of the simulation.
 type limitRouter struct {
-	name    string
-	pool    *balance.Pool
-	queue   *admission.Queue
-	ledger  *quota.Ledger
-	knows   []string
-	waiting map[*admission.Request]*limitCaller
-	// frozenUntil is when the router goes on, and excused since when the bounds hold for it again.
+	name         string
+	pool         *balance.Pool
+	queue        *admission.Queue
+	ledger       *quota.Ledger
+	knownRouters []string
+	waiting      map[*admission.Request]*limitCaller
+	// frozenUntil is when the router resumes.
 	frozenUntil time.Time
-	// toldAt holds when the router first passed on a word of a limit of an upstream.
-	toldAt map[upstream.Run]time.Time
-	// heard holds how many changes of limits of other routers were taken in.
-	heard map[*limitRouter]uint64
+	// learnedAt holds when the router first learned of a limit from the upstream itself.
+	learnedAt map[upstream.Run]time.Time
+	// seenChanges holds the change counter of each other router at the last gossip exchange.
+	seenChanges map[*limitRouter]uint64
 }
 
 type limitCaller struct {
@@ -76,7 +79,7 @@
 	bound  bool
 }
 
-// limitWorld plays a pattern on virtual time, by the decisions of routers.
+// limitWorld simulates a pattern on virtual time, with the decisions of routers.
 type limitWorld struct {
 	p       limitPattern
 	rand    *rand.Rand
@@ -86,10 +89,11 @@
 	seq     int
 	routers []*limitRouter
 	ups     []upstream.Instance
-	// arrivals holds those at each upstream.
+	// arrivals holds the requests that reached each upstream.
 	arrivals map[upstream.Run][]limitArrival
-	// served and rejected count callers, late those that were rejected after a wait, and asked the questions for permits.
-	served, rejected, late, asked int
+	// served and rejected count callers, rejectedLate those that were rejected after a wait, and
+	// permitRequests the requests for permits.
+	served, rejected, rejectedLate, permitRequests int
 }
 
 func playLimit(p limitPattern, seed uint64) *limitWorld {
@@ -110,8 +114,8 @@
 		w.after(at, func() { fault(w) })
 	}
 	w.arrive()
-	w.greet()
-	for end := w.begin.Add(limitPlay); len(w.events) > 0 && w.events[0].at.Before(end); {
+	w.gossip()
+	for end := w.begin.Add(limitDuration); len(w.events) > 0 && w.events[0].at.Before(end); {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
 		e.run()
@@ -119,13 +123,13 @@
 	return w
 }
 
-// start starts a router that knows others, and nothing of upstreams.
-func (w *limitWorld) start(r *limitRouter, knows []string) {
+// start starts a router that knows other routers but no upstream states.
+func (w *limitWorld) start(r *limitRouter, known []string) {
 	r.pool = balance.NewPool("")
 	r.pool.DrawBy(w.rand.Float64)
-	r.queue, r.ledger, r.knows = admission.NewQueue(r.pool), quota.NewLedger(), knows
-	r.waiting, r.toldAt, r.frozenUntil = map[*admission.Request]*limitCaller{}, map[upstream.Run]time.Time{}, time.Time{}
-	r.heard = map[*limitRouter]uint64{}
+	r.queue, r.ledger, r.knownRouters = admission.NewQueue(r.pool), quota.NewLedger(), known
+	r.waiting, r.learnedAt, r.frozenUntil = map[*admission.Request]*limitCaller{}, map[upstream.Run]time.Time{}, time.Time{}
+	r.seenChanges = map[*limitRouter]uint64{}
 }
 
 func (w *limitWorld) after(d time.Duration, f func()) {
@@ -133,12 +137,12 @@
 	heap.Push(&w.events, event{at: w.now.Add(d), seq: w.seq, run: f})
 }
 
-// on has a router do something after a time, once it is not frozen.
+// on runs f at a router after a delay, or when the router is no longer frozen.
 func (w *limitWorld) on(r *limitRouter, d time.Duration, f func()) {
 	pool := r.pool
 	w.after(d, func() {
 		switch {
-		case r.pool != pool: // it has started anew
+		case r.pool != pool: // the router has restarted
 		case w.now.Before(r.frozenUntil):
 			w.on(r, r.frozenUntil.Sub(w.now), f)
 		default:
@@ -153,28 +157,29 @@
 }
 
 const (
-	// greetEvery is the time between two greetings of a router, and greetMost the number of others that it greets.
-	greetEvery = 400 * time.Millisecond
-	greetMost  = 6
+	// gossipInterval is the time between two gossip rounds of a router, and gossipFanout the number
+	// of routers that it contacts in each.
+	gossipInterval = 400 * time.Millisecond
+	gossipFanout   = 6
 )
 
-// greet has each router ask some others for what they know of limits, if that has changed.
-func (w *limitWorld) greet() {
-	w.after(greetEvery, w.greet)
+// gossip makes each router fetch the limits of some other routers whose limits have changed.
+func (w *limitWorld) gossip() {
+	w.after(gossipInterval, w.gossip)
 	for _, r := range w.routers {
-		for range min(greetMost, len(w.routers)-1) {
+		for range min(gossipFanout, len(w.routers)-1) {
 			o := w.routers[w.rand.IntN(len(w.routers))]
-			if o == r || o.pool.Conditions().Changes() == r.heard[o] || !slices.Contains(r.knows, o.name) {
+			if o == r || o.pool.Conditions().Changes() == r.seenChanges[o] || !slices.Contains(r.knownRouters, o.name) {
 				continue
 			}
-			asked := w.now
-			w.on(o, time.Duration(w.rand.Int64N(int64(greetEvery))), func() {
+			askedAt := w.now
+			w.on(o, time.Duration(w.rand.Int64N(int64(gossipInterval))), func() {
 				changes, limits := o.pool.Conditions().Changes(), o.pool.Conditions().Limits()
-				r.heard[o] = changes
+				r.seenChanges[o] = changes
 				from := w.now
-				w.on(r, way, func() {
+				w.on(r, networkDelay, func() {
 					for run, limit := range limits {
-						r.pool.Conditions().Learn(run, limit.Told(from).At(asked, w.now))
+						r.pool.Conditions().Learn(run, limit.Told(from).At(askedAt, w.now))
 					}
 				})
 			})
@@ -182,27 +187,27 @@
 	}
 }
 
-// try sends a caller to a router by chance.
+// try sends a caller's request to a random router.
 func (w *limitWorld) try(c *limitCaller) {
 	c.tries++
 	routers := w.routers
-	if w.p.few > 0 {
-		routers = routers[:w.p.few]
+	if w.p.activeRouters > 0 {
+		routers = routers[:w.p.activeRouters]
 	}
 	r := routers[w.rand.IntN(len(routers))]
-	w.on(r, way, func() { w.ask(c, r) })
+	w.on(r, networkDelay, func() { w.decide(c, r) })
 }
 
-func (w *limitWorld) ask(c *limitCaller, r *limitRouter) {
-	const patience = 4 * time.Second
+func (w *limitWorld) decide(c *limitCaller, r *limitRouter) {
+	const callerTimeout = 4 * time.Second
 	x := &admission.Request{
-		Route: "r", Goal: 300 * time.Millisecond, Arrived: c.arrived, Deadline: c.arrived.Add(patience), Patience: patience, Timeout: patience,
-		Ask: balance.Ask{Routers: len(r.knows)}, Waited: c.waited,
+		Route: "r", Goal: 300 * time.Millisecond, Arrived: c.arrived, Deadline: c.arrived.Add(callerTimeout), Patience: callerTimeout, Timeout: callerTimeout,
+		Ask: balance.Ask{Routers: len(r.knownRouters)}, Waited: c.waited,
 	}
 	v := r.queue.Arrive(w.now, x, w.ups)
 	switch v.Outcome {
 	case admission.OutcomeGranted:
-		w.chosen(c, r, v.Upstream)
+		w.forward(c, r, v.Upstream)
 	case admission.OutcomeRejected:
 		w.reject(c, v.RetryAfter)
 	case admission.OutcomeWaits:
@@ -214,7 +219,7 @@
 				r.queue.Leave(x)
 				delete(r.waiting, x)
 				c.waited += w.now.Sub(from)
-				w.late++
+				w.rejectedLate++
 				w.reject(c, v.RetryAfter)
 			}
 		})
@@ -225,11 +230,11 @@
 	for _, g := range r.queue.Wake(w.now, w.ups) {
 		c := r.waiting[g.Request]
 		delete(r.waiting, g.Request)
-		w.chosen(c, r, g.Upstream)
+		w.forward(c, r, g.Upstream)
 	}
 }
 
-// reject tells a caller to come back; it does once.
+// reject tells a caller when to retry; each caller retries once.
 func (w *limitWorld) reject(c *limitCaller, after time.Duration) {
 	if c.tries > 1 {
 		w.rejected++
@@ -238,42 +243,42 @@
 	w.after(after+time.Duration(w.rand.Int64N(int64(250*time.Millisecond))), func() { w.try(c) })
 }
 
-// chosen has a request sent for which an upstream was chosen, if it may be.
-func (w *limitWorld) chosen(c *limitCaller, r *limitRouter, u upstream.Instance) {
-	w.on(r, way, func() {
+// forward sends a request to the chosen upstream, or requests a permit first if it needs one.
+func (w *limitWorld) forward(c *limitCaller, r *limitRouter, u upstream.Instance) {
+	w.on(r, networkDelay, func() {
 		if r.pool.Conditions().Permit(w.now, u.Run()) == condition.PermissionGiven {
 			w.send(c, r, u)
 			return
 		}
-		w.permit(c, r, u)
+		w.requestPermit(c, r, u)
 	})
 }
 
-// permit asks the router that gives permits.
-func (w *limitWorld) permit(c *limitCaller, r *limitRouter, u upstream.Instance) {
-	w.asked++
-	asked, ask := w.now, r.pool.Conditions().Ask(w.now, u.Run())
+// requestPermit asks the permit grantor for a permit.
+func (w *limitWorld) requestPermit(c *limitCaller, r *limitRouter, u upstream.Instance) {
+	w.permitRequests++
+	askedAt, ask := w.now, r.pool.Conditions().Ask(w.now, u.Run())
 	answered := false
 	answer := func(reply condition.Reply) {
 		if answered {
 			return
 		}
 		answered = true
-		if p, _ := r.pool.Conditions().Answered(asked, w.now, u.Run(), reply); p == condition.PermissionGiven {
+		if p, _ := r.pool.Conditions().Answered(askedAt, w.now, u.Run(), reply); p == condition.PermissionGiven {
 			w.send(c, r, u)
 			return
 		}
 		r.pool.Done(w.now, u.Run(), balance.ResultUnsent, 0, false)
-		w.ask(c, r)
+		w.decide(c, r)
 	}
-	name := watch.Reader("permits/"+string(u.ID), r.knows)
-	giver := w.routers[slices.IndexFunc(w.routers, func(o *limitRouter) bool { return o.name == name })]
-	w.on(giver, way, func() {
+	name := watch.Reader("permits/"+string(u.ID), r.knownRouters)
+	grantor := w.routers[slices.IndexFunc(w.routers, func(o *limitRouter) bool { return o.name == name })]
+	w.on(grantor, networkDelay, func() {
 		reply := quota.Denied()
-		if watch.Reader("permits/"+string(u.ID), giver.knows) == giver.name {
-			reply = giver.ledger.Give(w.now, ask)
+		if watch.Reader("permits/"+string(u.ID), grantor.knownRouters) == grantor.name {
+			reply = grantor.ledger.Give(w.now, ask)
 		}
-		w.on(r, way, func() { answer(reply) })
+		w.on(r, networkDelay, func() { answer(reply) })
 	})
 	w.on(r, condition.AskTime, func() { answer(quota.Denied()) })
 }
@@ -281,19 +286,19 @@
 // send sends a request to an upstream, which answers it.
 func (w *limitWorld) send(c *limitCaller, r *limitRouter, u upstream.Instance) {
 	run, sent := u.Run(), w.now
-	w.after(way, func() {
-		at, was := r.toldAt[run]
-		w.arrivals[run] = append(w.arrivals[run], limitArrival{at: w.now, router: r, bound: was && w.now.Sub(at) >= told})
+	w.after(networkDelay, func() {
+		at, was := r.learnedAt[run]
+		w.arrivals[run] = append(w.arrivals[run], limitArrival{at: w.now, router: r, bound: was && w.now.Sub(at) >= bindingDelay})
 		limit := 0.0
 		if i := slices.Index(w.ups, u); i < w.p.limited && w.now.Sub(w.begin) >= limitedFrom {
 			limit = w.p.limit(w.now.Sub(w.begin) - limitedFrom)
 		}
-		work := time.Duration((0.3 + 1.4*w.rand.Float64()) * float64(plainWork))
+		work := time.Duration((0.3 + 1.4*w.rand.Float64()) * float64(meanWork))
 		w.on(r, work, func() {
 			r.pool.Started(w.now, run)
 			r.pool.Conditions().Note(w.now, sent, run, upstream.Notice{Limited: limit > 0, Limit: upstream.Rate(limit)})
-			if _, was := r.toldAt[run]; limit > 0 && !was {
-				r.toldAt[run] = w.now
+			if _, was := r.learnedAt[run]; limit > 0 && !was {
+				r.learnedAt[run] = w.now
 			}
 			r.pool.Done(w.now, run, balance.ResultOK, work, true)
 			w.wake(r)
@@ -303,26 +308,27 @@
 	c.waited = 0
 }
 
-// most returns the most requests that an upstream got within a window, from routers that were bound or from all.
-func (w *limitWorld) most(run upstream.Run, bound bool) int {
+// maxInWindow returns the highest number of requests that an upstream got within a window, from
+// bound routers only or from all.
+func (w *limitWorld) maxInWindow(run upstream.Run, bound bool) int {
 	var times []time.Time
 	for _, a := range w.arrivals[run] {
-		if (a.bound || !bound) && a.at.Sub(w.begin) >= limitedFrom+contact {
+		if (a.bound || !bound) && a.at.Sub(w.begin) >= limitedFrom+limitGrace {
 			times = append(times, a.at)
 		}
 	}
-	most, from := 0, 0
+	highest, from := 0, 0
 	for i, at := range times {
 		for at.Sub(times[from]) > limitWindow {
 			from++
 		}
-		most = max(most, i-from+1)
+		highest = max(highest, i-from+1)
 	}
-	return most
+	return highest
 }
 
-// used returns the requests a second that an upstream got between two times.
-func (w *limitWorld) used(run upstream.Run, from, to time.Duration) float64 {
+// rate returns the requests per second that an upstream got between two times.
+func (w *limitWorld) rate(run upstream.Run, from, to time.Duration) float64 {
 	n := 0
 	for _, a := range w.arrivals[run] {
 		if at := a.at.Sub(w.begin); at >= from && at < to {
@@ -332,27 +338,28 @@
 	return float64(n) / (to - from).Seconds()
 }
 
-// check checks that no upstream got more than it allows, and that each got a good part of what it allows and what comes.
-func (w *limitWorld) check(t *testing.T, limit, part float64) {
+// check checks that no upstream exceeded its limit, and that each got at least minFraction of its
+// limit or its share of the demand, whichever is lower.
+func (w *limitWorld) check(t *testing.T, limit, minFraction float64) {
 	t.Helper()
 	allowed := int(limitFactor*limitWindow.Seconds()*limit) + limitSlack
 	each := w.p.demand / float64(w.p.upstreams)
 	for _, u := range w.ups[:w.p.limited] {
-		most, used := w.most(u.Run(), true), w.used(u.Run(), limitedFrom+contact, limitPlay)
-		if most > allowed {
-			t.Errorf("%s limits its requests to %v a second and got %d in %s, want %d at most", u.ID, limit, most, limitWindow, allowed)
+		peak, rate := w.maxInWindow(u.Run(), true), w.rate(u.Run(), limitedFrom+limitGrace, limitDuration)
+		if peak > allowed {
+			t.Errorf("%s limits its requests to %v a second and got %d in %s, want %d at most", u.ID, limit, peak, limitWindow, allowed)
 		}
-		if want := part * min(limit, each); used < want {
-			t.Errorf("%s limits its requests to %v a second and got %.2f, want %.2f at least", u.ID, limit, used, want)
+		if want := minFraction * min(limit, each); rate < want {
+			t.Errorf("%s limits its requests to %v a second and got %.2f, want %.2f at least", u.ID, limit, rate, want)
 		}
 	}
 	first := w.ups[0].Run()
-	t.Logf("limit %v: %d in %s (%d allowed), %.2f a second of %.2f; served %d, rejected %d, %d after a wait; %.1f questions a second",
-		limit, w.most(first, false), limitWindow, allowed, w.used(first, limitedFrom+contact, limitPlay), min(limit, each), w.served, w.rejected, w.late, float64(w.asked)/limitPlay.Seconds())
+	t.Logf("limit %v: %d in %s (%d allowed), %.2f a second of %.2f; served %d, rejected %d, %d after a wait; %.1f permit requests a second",
+		limit, w.maxInWindow(first, false), limitWindow, allowed, w.rate(first, limitedFrom+limitGrace, limitDuration), min(limit, each), w.served, w.rejected, w.rejectedLate, float64(w.permitRequests)/limitDuration.Seconds())
 }
 
-// always names one limit.
-func always(limit float64) func(time.Duration) float64 {
+// constantLimit returns a limit that does not change over time.
+func constantLimit(limit float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return limit }
 }
 
@@ -362,8 +369,9 @@
 	"149 routers": {routers: 149, upstreams: 5, demand: 38},
 }
 
-// TestLimit plays upstreams that limit what they take from all routers together: they may not get more, and should get about as much. Each router
-// by itself would let one request a second through, and 149 of them 149.
+// TestLimit simulates upstreams that limit the total rate from all routers. They must not get more,
+// and should get about as much. If each router applied the limit on its own, 149 routers would send
+// 149 requests a second to an upstream with a limit of one.
 func TestLimit(t *testing.T) {
 	for size, p := range limitSizes {
 		for _, limit := range []float64{0.2, 1, 1.1, 10, 1000} {
@@ -371,12 +379,12 @@
 				t.Run(fmt.Sprintf("%s, %s of %v", size, which, limit), func(t *testing.T) {
 					t.Parallel()
 					p := p
-					p.limited, p.limit = n, always(limit)
+					p.limited, p.limit = n, constantLimit(limit)
 					w := playLimit(p, 1)
 					w.check(t, limit, 0.6)
 					for _, u := range w.ups[:n] {
-						if most, allowed := w.most(u.Run(), false), int(limitFactor*limitWindow.Seconds()*limit)+limitSlack; most > allowed {
-							t.Errorf("%s got %d in %s from all routers together, also those that it had not told itself, want %d at most", u.ID, most, limitWindow, allowed)
+						if peak, allowed := w.maxInWindow(u.Run(), false), int(limitFactor*limitWindow.Seconds()*limit)+limitSlack; peak > allowed {
+							t.Errorf("%s got %d in %s from all routers together, including those that have not learned the limit from it, want %d at most", u.ID, peak, limitWindow, allowed)
 						}
 					}
 				})
@@ -385,8 +393,8 @@
 	}
 }
 
-// names returns the names of routers.
-func names(routers []*limitRouter) []string {
+// routerNames returns the names of routers.
+func routerNames(routers []*limitRouter) []string {
 	var out []string
 	for _, r := range routers {
 		out = append(out, r.name)
@@ -394,64 +402,65 @@
 	return out
 }
 
-// giver returns the router that gives the permits for the first upstream.
-func (w *limitWorld) giver() *limitRouter {
-	name := watch.Reader("permits/u0", names(w.routers))
+// grantor returns the permit grantor for the first upstream.
+func (w *limitWorld) grantor() *limitRouter {
+	name := watch.Reader("permits/u0", routerNames(w.routers))
 	return w.routers[slices.IndexFunc(w.routers, func(r *limitRouter) bool { return r.name == name })]
 }
 
-// without returns the names of all routers but one.
-func (w *limitWorld) without(r *limitRouter) []string {
-	return slices.DeleteFunc(names(w.routers), func(name string) bool { return name == r.name })
+// namesWithout returns the names of all routers but one.
+func (w *limitWorld) namesWithout(r *limitRouter) []string {
+	return slices.DeleteFunc(routerNames(w.routers), func(name string) bool { return name == r.name })
 }
 
-// giverLife is the time between two starts of a giver that starts anew again and again. It begins with nothing to give, and counts from the
-// first question on: it gives hardly a permit that takes about as long.
-const giverLife = 1500 * time.Millisecond
+// grantorUptime is the time between two starts of a permit grantor that restarts repeatedly. A
+// grantor starts with no permits to grant and accrues them from the first request on, so it rarely
+// grants a permit that takes about as long to accrue.
+const grantorUptime = 1500 * time.Millisecond
 
-// silentTime is how long a router is silent before others take it for gone.
-const silentTime = 1100 * time.Millisecond
+// silenceTimeout is how long a router is silent before others consider it gone.
+const silenceTimeout = 1100 * time.Millisecond
 
-// limitFaults are what befalls routers while an upstream limits its requests.
+// limitFaults are the faults injected into routers while an upstream limits its requests.
 var limitFaults = map[string]map[time.Duration]func(w *limitWorld){
-	"the giver freezes": {20 * time.Second: func(w *limitWorld) {
-		g := w.giver()
+	"the permit grantor freezes": {20 * time.Second: func(w *limitWorld) {
+		g := w.grantor()
 		g.frozenUntil = w.now.Add(5 * time.Second)
-		w.after(silentTime, func() {
+		w.after(silenceTimeout, func() {
 			for _, r := range w.routers {
 				if r != g {
-					r.knows = w.without(g)
+					r.knownRouters = w.namesWithout(g)
 				}
 			}
 		})
 		w.after(6*time.Second, func() {
 			for _, r := range w.routers {
-				r.knows = names(w.routers)
+				r.knownRouters = routerNames(w.routers)
 			}
 		})
 	}},
-	"all start anew, and know nobody for a while": {20 * time.Second: func(w *limitWorld) {
+	"all routers restart and know no other router for a while": {20 * time.Second: func(w *limitWorld) {
 		for _, r := range w.routers {
 			w.start(r, []string{r.name})
-			w.after(400*time.Millisecond, func() { r.knows = names(w.routers) })
+			w.after(400*time.Millisecond, func() { r.knownRouters = routerNames(w.routers) })
 		}
 	}},
-	"the giver starts anew again and again": func() map[time.Duration]func(w *limitWorld) {
+	"the permit grantor restarts repeatedly": func() map[time.Duration]func(w *limitWorld) {
 		out := map[time.Duration]func(w *limitWorld){}
-		for at := 10 * time.Second; at < 50*time.Second; at += giverLife {
-			out[at] = func(w *limitWorld) { w.start(w.giver(), names(w.routers)) }
+		for at := 10 * time.Second; at < 50*time.Second; at += grantorUptime {
+			out[at] = func(w *limitWorld) { w.start(w.grantor(), routerNames(w.routers)) }
 		}
 		return out
 	}(),
-	"half lose sight of the giver for a second, again and again": func() map[time.Duration]func(w *limitWorld) {
+	"half of the routers repeatedly lose contact with the permit grantor for a second": func() map[time.Duration]func(w *limitWorld) {
 		out := map[time.Duration]func(w *limitWorld){}
 		for at := 10 * time.Second; at < 50*time.Second; at += 6 * time.Second {
 			out[at] = func(w *limitWorld) {
-				g := w.giver()
+				g := w.grantor()
 				for i, r := range w.routers {
 					if i%2 == 0 && r != g {
-						r.knows = w.without(g)
-						w.after(time.Second, func() { r.knows = names(w.routers) })
+						r.knownRouters = w.namesWithout(g)
+						w.after(time.Second, func() { r.knownRouters = routerNames(w.routers) })
 					}
 				}
 			}
@@ -464,8 +473,8 @@
 			out[at] = func(w *limitWorld) {
 				gone := w.routers[w.rand.IntN(len(w.routers))]
 				for _, r := range w.routers {
-					// News of a change takes a different time to each.
-					w.after(time.Duration(w.rand.Int64N(int64(time.Second))), func() { r.knows = w.without(gone) })
+					// Each router learns of the change at a different time.
+					w.after(time.Duration(w.rand.Int64N(int64(time.Second))), func() { r.knownRouters = w.namesWithout(gone) })
 				}
 			}
 		}
@@ -473,7 +482,8 @@
 	}(),
 }
 
-// TestLimitFaults plays the same while routers freeze, start anew and know different others.
+// TestLimitFaults checks the limits while routers freeze, restart and know different sets of
+// routers.
 func TestLimitFaults(t *testing.T) {
 	for name, faults := range limitFaults {
 		for size, p := range limitSizes {
@@ -481,17 +491,17 @@
 				t.Run(fmt.Sprintf("%s, %s, %v", name, size, limit), func(t *testing.T) {
 					t.Parallel()
 					p := p
-					p.limited, p.limit, p.faults = 1, always(limit), faults
-					part := 0.4
-					if name == "the giver starts anew again and again" && limit*giverLife.Seconds() < 2 {
-						part = 0
+					p.limited, p.limit, p.faults = 1, constantLimit(limit), faults
+					minFraction := 0.4
+					if name == "the permit grantor restarts repeatedly" && limit*grantorUptime.Seconds() < 2 {
+						minFraction = 0
 					}
 					seeds := uint64(benchSeeds)
 					if p.routers > 100 {
-						seeds = 1 // as long as the others together
+						seeds = 1 // takes as long as the other sizes together
 					}
 					for seed := range seeds {
-						playLimit(p, seed).check(t, limit, part)
+						playLimit(p, seed).check(t, limit, minFraction)
 					}
 				})
 			}
@@ -499,23 +509,24 @@
 	}
 }
 
-// TestLimitFew has all callers come to a fifth of the routers, as when those of other data centres stay away: what the others do not use is
-// theirs.
+// TestLimitFew sends all callers to a fifth of the routers, as when those of other data centres are
+// unused. These routers must be able to use the quota that the others leave.
 func TestLimitFew(t *testing.T) {
 	for size, p := range limitSizes {
 		for _, limit := range []float64{1, 10} {
 			t.Run(fmt.Sprintf("%s, %v", size, limit), func(t *testing.T) {
-				p.limited, p.limit, p.few = p.upstreams, always(limit), max(2, p.routers/5)
+				p.limited, p.limit, p.activeRouters = p.upstreams, constantLimit(limit), max(2, p.routers/5)
 				playLimit(p, 1).check(t, limit, 0.6)
 			})
 		}
 	}
 }
 
-// TestLimitEnds has an upstream limit its requests for a while, and checks that all routers use it again soon after, although most had no
-// request there that would have told them.
+// TestLimitEnds makes an upstream limit its requests for a while, and checks that the routers use
+// it again soon after the limit ends. Most routers have no request there whose answer would report
+// the end.
 func TestLimitEnds(t *testing.T) {
-	const ends, known = 20 * time.Second, 8 * time.Second
+	const ends, learnTime = 20 * time.Second, 8 * time.Second
 	for size, p := range limitSizes {
 		t.Run(size, func(t *testing.T) {
 			p.limited, p.limit = p.upstreams, func(at time.Duration) float64 {
@@ -525,9 +536,9 @@
 				return 0
 			}
 			w := playLimit(p, 1)
-			again := limitedFrom + ends + known
-			if used, want := w.used(w.ups[0].Run(), again, limitPlay), 0.8*p.demand/float64(p.upstreams); used < want {
-				t.Errorf("the first upstream gets %.2f requests a second after its limit has ended, want %.2f", used, want)
+			usedFrom := limitedFrom + ends + learnTime
+			if rate, want := w.rate(w.ups[0].Run(), usedFrom, limitDuration), 0.8*p.demand/float64(p.upstreams); rate < want {
+				t.Errorf("the first upstream gets %.2f requests a second after its limit has ended, want %.2f", rate, want)
 			}
 		})
 	}
--- a/tests/replay/rest_test.go
+++ b/tests/replay/rest_test.go
@@ -8,14 +8,16 @@
 	"time"
 )
 
-// TestRestingRanks plays a group of which some ranks turn everything away for some seconds, and ask to be left alone for three. They look
-// idle, so without their word most requests are sent to them first, and those whose second try is turned away too are rejected. Of many routers each
-// would have to be turned away by each of them, so coordinators have to hear of it too.
+// TestRestingRanks simulates a group in which some ranks refuse everything for some seconds and
+// request a back-off of three seconds. These ranks look idle: if routers ignored the back-off, most
+// requests would be sent there first, and those whose second attempt is refused too are rejected.
+// Each of many routers would have to be refused by each of these ranks, so coordinators must learn
+// of the back-off as well.
 func TestRestingRanks(t *testing.T) {
 	cases := map[string]struct {
-		routers, ranks, resting int
-		load                    float64
-		seeds                   uint64
+		routers, ranks, shedding int
+		load                     float64
+		seeds                    uint64
 	}{
 		"four of 12":       {6, 12, 4, 0.6, 4},
 		"one of 12":        {6, 12, 1, 0.8, 4},
@@ -26,24 +28,24 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			shed := func(rank int, at time.Duration) time.Duration {
-				if rank < c.resting && within(at, 2, 7) > 0 {
+				if rank < c.shedding && within(at, 2, 7) > 0 {
 					return 3 * time.Second
 				}
 				return 0
 			}
-			var rejected, turned [2]int
+			var rejected, rankRejections [2]int
 			var worth [2]float64
 			for seed := range c.seeds {
-				for i, deaf := range []bool{true, false} {
-					p := pattern{rate: steady(c.load), skew: steady(1.4), pace: usualPace, shed: shed, deaf: deaf}
+				for i, ignoreBackOff := range []bool{true, false} {
+					p := pattern{rate: steady(c.load), skew: steady(1.4), pace: usualPace, shed: shed, ignoreBackOff: ignoreBackOff}
 					r := play(p.with(c.routers, c.ranks, 70*time.Millisecond, seed), nil)
-					rejected[i], turned[i] = rejected[i]+r.refused, turned[i]+r.full
+					rejected[i], rankRejections[i] = rejected[i]+r.rejected, rankRejections[i]+r.rejectedByRanks
 					worth[i] += r.worth() / float64(c.seeds)
 				}
 			}
-			t.Logf("rejected %d, turned away by ranks %d, worth %.3f; without their word %d, %d, %.3f", rejected[1], turned[1], worth[1], rejected[0], turned[0], worth[0])
+			t.Logf("rejected %d, refused by ranks %d, worth %.3f; with the back-off ignored %d, %d, %.3f", rejected[1], rankRejections[1], worth[1], rejected[0], rankRejections[0], worth[0])
 			if 2*rejected[1] > rejected[0] || worth[1] < worth[0] {
-				t.Errorf("rejected %d, worth %.3f; without their word %d, %.3f", rejected[1], worth[1], rejected[0], worth[0])
+				t.Errorf("rejected %d, worth %.3f; with the back-off ignored %d, %.3f", rejected[1], worth[1], rejected[0], worth[0])
 			}
 		})
 	}
