--- a/cmd/root.go
+++ b/cmd/root.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Fawnwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package cmd holds the command line: one file a subcommand.
+// Package cmd implements the command line, with one file for each subcommand.
 package cmd
 
 import (
@@ -17,17 +17,20 @@
 
 // Exit codes.
 const (
-	exitOK      = 0
-	exitFailed  = 1
+	exitOK     = 0
+	exitFailed = 1
+	// exitChanges means that a command succeeded and that its result needs attention: a plan has
+	// changes, or a status lists ranks that have not reported.
 	exitChanges = 2
 )
 
-// errExit carries an exit code without a message.
+// errExit makes the command exit with a code without printing a message.
 type errExit struct{ code int }
 
 func (e errExit) Error() string { return fmt.Sprintf("exit code %d", e.code) }
 
-// Execute runs the command line and returns the exit code.
+// Execute runs the command line and returns the exit code. SIGINT and SIGTERM cancel the context of
+// the command.
 func Execute(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -48,6 +51,8 @@
 	}
 }
 
+// newRoot returns the root command with its subcommands. Cobra prints neither errors nor the usage
+// after them: Execute prints the errors.
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "fawnwinch",
--- a/contrib/compare/picture.go
+++ b/contrib/compare/picture.go
@@ -12,8 +12,9 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// drawPicture draws the mean difference of each variant at each site.
-func drawPicture(file string, t *trial, list []comparison) error {
+// drawPlot draws the mean difference in worth from the base, with a row for each variant and a
+// point for each site.
+func drawPlot(file string, t *trial, list []comparison) error {
 	p := plot.New()
 	p.X.Label.Text = "difference in worth against " + string(t.Base)
 	p.Legend.Top = true
@@ -36,14 +37,15 @@
 		p.Legend.Add(site, scatter)
 	}
 	p.Add(plotter.NewGrid())
-	const line = 0.8 * vg.Centimeter
-	if err := p.Save(20*vg.Centimeter, vg.Length(len(list)+5)*line, file); err != nil {
+	// Five more rows leave room for the axis, its label and the legend.
+	const rowHeight = 0.8 * vg.Centimeter
+	if err := p.Save(20*vg.Centimeter, vg.Length(len(list)+5)*rowHeight, file); err != nil {
 		return fmt.Errorf("save plot: %w", err)
 	}
 	return nil
 }
 
-// sitePoints returns the mean differences at a site, a variant a line.
+// sitePoints returns the mean differences at a site, with a row for each variant.
 func sitePoints(list []comparison, site string) plotter.XYs {
 	var out plotter.XYs
 	for i, c := range list {
--- a/services/membership/relay_test.go
+++ b/services/membership/relay_test.go
@@ -10,18 +10,18 @@
 	"fawnwinch.org/fawnwinch/models/upstream"
 )
 
-// TestRelay lets a home router tell another one about an agent.
+// TestRelay checks what a router learns about an agent by gossip from the agent's home router.
 func TestRelay(t *testing.T) {
 	const id = upstream.ID("u")
 	home, other, out := NewTable(testInterval), NewTable(testInterval), NewOutbox()
 	seq, echo := uint64(0), uint64(0)
 	beat := func(now time.Time, state upstream.State, load int) {
 		seq++
-		echo = home.Beat(now, Beat{Upstream: id, Incarnation: "1", Seq: seq, State: state, Echo: echo, Load: Load{InFlight: load}})
+		echo = home.ApplyBeat(now, Beat{Upstream: id, Incarnation: "1", Seq: seq, State: state, Echo: echo, Load: Load{InFlight: load}})
 	}
 	relay := func(now time.Time) Relay {
-		m := out.For(now, "other", home)
-		other.Relay(now, "home", m)
+		m := out.Message(now, "other", home)
+		other.ApplyRelay(now, "home", m)
 		return m
 	}
 	check := func(now time.Time, what string, suspect, leaving bool, load int) {
@@ -39,10 +39,10 @@
 	}
 	beat(now, upstream.StateReady, 1)
 	if m := relay(now); len(m.Full) != 0 {
-		t.Errorf("told of an agent that has proved nothing: %+v", m)
+		t.Errorf("reported an agent without a proof of liveness: %+v", m)
 	}
 	tick(upstream.StateReady, 2)
-	check(now, "told in full", false, false, 2)
+	check(now, "full digest", false, false, 2)
 	if m := tick(upstream.StateReady, 3); len(m.Full) != 0 || len(m.Loads) != 1 {
 		t.Errorf("nothing but the load has changed: %+v", m)
 	}
@@ -55,23 +55,23 @@
 		now = now.Add(testInterval.Beat())
 		relay(now)
 	}
-	check(now, "the agent fell silent", true, false, 4)
+	check(now, "agent became silent", true, false, 4)
 	tick(upstream.StateReady, 5)
 	tick(upstream.StateReady, 5)
-	check(now, "awake again", false, false, 5)
-	check(now.Add(testInterval.Suspect()+testInterval.Beat()), "the home fell silent", true, false, 5)
+	check(now, "agent alive again", false, false, 5)
+	check(now.Add(testInterval.Suspect()+testInterval.Beat()), "home router became silent", true, false, 5)
 
-	// The message that names an agent silent is lost.
+	// The message that lists the agent as silent is lost.
 	for range 3 {
 		now = now.Add(testInterval.Beat())
-		out.For(now, "other", home)
+		out.Message(now, "other", home)
 	}
 	out.Forget("other")
 	for range 10 {
 		now = now.Add(testInterval.Beat())
 		relay(now)
 	}
-	check(now, "silent by a lost message", true, false, 5)
+	check(now, "agent silent after a lost message", true, false, 5)
 }
 
 func TestLoadInterval(t *testing.T) {
@@ -91,24 +91,24 @@
 	}
 }
 
-// TestBrief checks that a brief heartbeat says the same as a full one, and that a router which has no
-// full one asks for it.
+// TestBrief checks that a brief heartbeat is equivalent to a full one, and that a router without a
+// full heartbeat requests one.
 func TestBrief(t *testing.T) {
 	full := Beat{Upstream: "u", Incarnation: "1", Service: "s", Seq: 1, RPC: "10.0.0.1:1", State: upstream.StateReady}
 	known, fresh := NewTable(testInterval), NewTable(testInterval)
-	echo := known.Beat(start, full)
+	echo := known.ApplyBeat(start, full)
 	next := full
 	next.Seq, next.Echo, next.Load.InFlight = 2, echo, 7
-	if known.Have("u") != next.Fingerprint() {
-		t.Error("the router does not know that it has the full heartbeat")
+	if known.FullFingerprint("u") != next.Fingerprint() {
+		t.Error("the router does not report the fingerprint of the full heartbeat")
 	}
-	known.Beat(start, next.Shorten())
+	known.ApplyBeat(start, next.Shorten())
 	e, _ := known.Entry(start, "u")
 	if e.Suspect || e.Beat.RPC != full.RPC || e.Beat.State != upstream.StateReady || e.Beat.Load.InFlight != 7 || e.Beat.Seq != 2 {
 		t.Errorf("after a brief heartbeat: %+v", e)
 	}
-	fresh.Beat(start, next.Shorten())
-	if fresh.Have("u") != 0 {
-		t.Error("a router that has only a brief heartbeat does not ask for a full one")
+	fresh.ApplyBeat(start, next.Shorten())
+	if fresh.FullFingerprint("u") != 0 {
+		t.Error("a router with only a brief heartbeat does not request a full one")
 	}
 }
--- a/tests/integration/cost_test.go
+++ b/tests/integration/cost_test.go
@@ -15,7 +15,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// costCalls bounds one measurement.
+// costCalls is the number of calls in one measurement.
 const costCalls = 2000
 
 // measure calls a function from several goroutines and returns the delays in microseconds.
@@ -44,7 +44,8 @@
 	return h, first
 }
 
-// BenchmarkAddedDelay compares calls through a router and an agent with direct ones in the same run.
+// BenchmarkAddedDelay compares calls through a router and an agent with direct ones in the same
+// run.
 func BenchmarkAddedDelay(b *testing.B) {
 	c := newCluster(b, options{routers: 2, plains: 2})
 	paths := map[string]func(client *http.Client, n int) error{
