--- a/cmd/agent.go
+++ b/cmd/agent.go
@@ -57,7 +57,7 @@
 }
 
 func runAgent(lc fx.Lifecycle, set setting.Agent, ss sockets, client *platform.Client, eng *engine.Client, m *metrics.Metrics, ring *timeline.Ring, logger zerolog.Logger) error {
-	a, err := agent.New(set, agent.Outside{
+	a, err := agent.New(set, agent.Dependencies{
 		Log: client, Weights: client, Engine: eng,
 		Dial: func(address string) services.Engine { return engine.NewClient(address) },
 	}, agent.Listeners{HTTP: ss.HTTP, RPC: ss.RPC}, m, ring, logger)
--- a/cmd/confirm.go
+++ b/cmd/confirm.go
@@ -131,7 +131,7 @@
 	var s directory.Status
 	_, _ = fmt.Fprintf(c.ErrOrStderr(), "accepted as revision %d, waiting until it is in force everywhere\n", ca.Outcome.Revision)
 	for ctx.Err() == nil {
-		if err := o.get(ctx, "/api/v1/status", &s); err == nil && s.Everywhere(ca.Outcome.Revision) {
+		if err := o.get(ctx, "/api/v1/status", &s); err == nil && s.HasRevision(ca.Outcome.Revision) {
 			if o.output == "json" {
 				return printJSON(c.OutOrStdout(), ca)
 			}
--- a/cmd/demo_load.go
+++ b/cmd/demo_load.go
@@ -65,7 +65,7 @@
 		}
 		slices += p.Slices
 	}
-	return s.Everywhere(rev) && ready == len(d.vms) && slices > 0
+	return s.HasRevision(rev) && ready == len(d.vms) && slices > 0
 }
 
 func (d *demo) confirmOnce(ctx context.Context, o *operatorFlags) (intent.Revision, error) {
--- a/cmd/platform_router.go
+++ b/cmd/platform_router.go
@@ -43,7 +43,7 @@
 	})
 	m.Gauge("catalog_age_seconds", "Time since the catalog in force was last known to be the newest; NaN before one is known.", nil, func() float64 {
 		age := math.NaN()
-		r.Know(func(s *knowledge.State) {
+		r.WithState(func(s *knowledge.State) {
 			if !s.CatalogProof().IsZero() {
 				age = s.CatalogAge(clock.Now()).Seconds()
 			}
@@ -100,7 +100,7 @@
 	}
 	n.reloader.onReload(func(set setting.Node) {
 		r.Reload(set.Seeds, set.Bounds)
-		rl.Rebound(clock.Now(), set.Bounds)
+		rl.SetBounds(clock.Now(), set.Bounds)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
--- a/cmd/platform_timeline.go
+++ b/cmd/platform_timeline.go
@@ -101,7 +101,7 @@
 	s.Buffer(nil, maxLogLine)
 	for s.Scan() {
 		l, err := log.ParseLine(s.Text())
-		var notLogLine log.ErrNoLine
+		var notLogLine log.ErrNotLogLine
 		if errors.As(err, &notLogLine) {
 			skipped++
 			continue
--- a/cmd/reload_test.go
+++ b/cmd/reload_test.go
@@ -25,9 +25,9 @@
 	Front: "127.0.0.1:7004", Store: "127.0.0.1:7005",
 }.Text()
 
-// TestHangUpAtStart checks that a SIGHUP which arrives before the process watches for it does not
+// TestSIGHUPBeforeWatch checks that a SIGHUP which arrives before the process watches for it does not
 // terminate the process, and reloads the settings once it watches.
-func TestHangUpAtStart(t *testing.T) {
+func TestSIGHUPBeforeWatch(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	if err := os.WriteFile(path, []byte(nodeSettings), 0o600); err != nil {
 		t.Fatal(err)
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestHangUp checks that SIGHUP reloads the settings without terminating the process, and that
+// TestReloadOnSIGHUP checks that SIGHUP reloads the settings without terminating the process, and that
 // invalid settings change nothing.
-func TestHangUp(t *testing.T) {
+func TestReloadOnSIGHUP(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/cmd/router.go
+++ b/cmd/router.go
@@ -125,7 +125,7 @@
 
 func registerRouterMetrics(m *metrics.Metrics, p *routerProcess) {
 	m.Gauge("config_revision", "Revision of the configuration in force.", nil, func() float64 { return float64(p.follower.State().Revision) })
-	m.Gauge("log_contact_age_seconds", "Time since the log last answered.", nil, func() float64 { return clock.Since(p.follower.Contact()).Seconds() })
+	m.Gauge("log_contact_age_seconds", "Time since the log last answered.", nil, func() float64 { return clock.Since(p.follower.LastContact()).Seconds() })
 	sent := func() float64 { return float64(p.pool.Stats.Sent.Load() + p.rpc.Stats.Sent.Load()) }
 	received := func() float64 { return float64(p.pool.Stats.Received.Load() + p.rpc.Stats.Received.Load()) }
 	m.Counter("control_sent_bytes_total", "Bytes sent to other fawnwinch processes for control.", nil, sent)
@@ -169,7 +169,7 @@
 	p.dir.SetState(membership.RouterLeaving)
 	p.ring.Add(clock.Now(), timeline.Event{Kind: timeline.KindDrain, Name: "leaving"})
 	p.logger.Info().Msg("leaving")
-	timer := time.NewTimer(p.set.AddressTTL + membership.Interval(p.set.Process.Heartbeat).Suspect())
+	timer := time.NewTimer(p.set.AddressTTL + membership.Interval(p.set.Process.Heartbeat).SuspectAfter())
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/contrib/compare/compare_test.go
+++ b/contrib/compare/compare_test.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// TestPicture checks that a plot is drawn and contains the site's name.
-func TestPicture(t *testing.T) {
+// TestPlot checks that a plot is drawn and contains the site's name.
+func TestPlot(t *testing.T) {
 	tt := &testTrial{t: t, dir: t.TempDir()}
 	tt.addPlay("old", "small", "busy", 0.5, nil)
 	tt.addPlay("new", "small", "busy", 0.6, nil)
--- a/models/catalog/catalog.go
+++ b/models/catalog/catalog.go
@@ -177,5 +177,5 @@
 // Service returns a service, or nil.
 func (x *Index) Service(id service.ID) *Service { return x.byService[id] }
 
-// Closed reports whether the catalog has any accounts; without them, no request needs a key.
-func (x *Index) Closed() bool { return len(x.Accounts) > 0 }
+// RequiresKeys reports whether the catalog has any accounts; without them, no request needs a key.
+func (x *Index) RequiresKeys() bool { return len(x.Accounts) > 0 }
--- a/models/catalog/change.go
+++ b/models/catalog/change.go
@@ -32,9 +32,9 @@
 	return out, ok && okAccounts
 }
 
-// Changed returns the catalog that results from applying ch to c, or false if ch has another base
+// Apply returns the catalog that results from applying ch to c, or false if ch has another base
 // version.
-func (c *Catalog) Changed(ch *Change) (*Catalog, bool) {
+func (c *Catalog) Apply(ch *Change) (*Catalog, bool) {
 	if ch.Base != c.Version {
 		return nil, false
 	}
--- a/models/catalog/change_test.go
+++ b/models/catalog/change_test.go
@@ -46,11 +46,11 @@
 		if !ok {
 			t.Fatal("no change between catalogs without duplicate names")
 		}
-		got, ok := before.Changed(&change)
+		got, ok := before.Apply(&change)
 		if !ok || !sameCatalog(got, after) {
 			t.Errorf("%+v with %+v is %+v, want %+v", before, change, got, after)
 		}
-		if _, ok := after.Changed(&change); ok {
+		if _, ok := after.Apply(&change); ok {
 			t.Error("a change was applied to a catalog other than its base")
 		}
 	})
@@ -67,8 +67,8 @@
 	return reflect.DeepEqual(sorted(a), sorted(b))
 }
 
-// TestChangeDoubled checks that there is no change from or to a catalog with a duplicate name.
-func TestChangeDoubled(t *testing.T) {
+// TestChangeDuplicateNames checks that there is no change from or to a catalog with a duplicate name.
+func TestChangeDuplicateNames(t *testing.T) {
 	duplicate := &Catalog{Version: 2, Routes: []Route{{Name: "r", Host: "a"}, {Name: "r", Host: "b"}}}
 	if _, ok := duplicate.ChangeFrom(&Catalog{Version: 1}); ok {
 		t.Error("a change to a catalog with a duplicate name")
--- a/models/expertmap/change.go
+++ b/models/expertmap/change.go
@@ -17,12 +17,12 @@
 	Digest string
 }
 
-// Deal describes the initial map of engines: the experts of each layer are distributed round-robin
+// InitialMap describes the initial map of engines: the experts of each layer are distributed round-robin
 // to the ranks.
-type Deal struct{ Ranks, Layers, Experts, Places int }
+type InitialMap struct{ Ranks, Layers, Experts, Places int }
 
 // Map returns the map that d describes, with version 0.
-func (d Deal) Map() *Map {
+func (d InitialMap) Map() *Map {
 	m := &Map{Layers: make([]Layer, d.Layers)}
 	for l := range m.Layers {
 		slots := make([][]Expert, d.Ranks)
@@ -73,8 +73,8 @@
 	return c, true
 }
 
-// Changed returns m with c applied, under version v, or false if m is not the base of c.
-func (m *Map) Changed(c Change, v Version) (*Map, bool) {
+// Apply returns m with c applied, under version v, or false if m is not the base of c.
+func (m *Map) Apply(c Change, v Version) (*Map, bool) {
 	if m.Version != c.Base {
 		return nil, false
 	}
--- a/models/expertmap/change_test.go
+++ b/models/expertmap/change_test.go
@@ -37,7 +37,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			got, ok := tc.receiver.Changed(tc.change, 4)
+			got, ok := tc.receiver.Apply(tc.change, 4)
 			if ok != tc.want {
 				t.Fatalf("applied: %t, want %t", ok, tc.want)
 			}
--- a/models/request/request.go
+++ b/models/request/request.go
@@ -66,16 +66,16 @@
 	DefaultBudget = 30 * time.Second
 )
 
-// Slice is the part of a service's key space that a key falls into.
-type Slice int
+// KeySlice is the part of a service's key space that a key falls into.
+type KeySlice int
 
-// SliceOf returns the slice of a key of a client account among n slices.
-func SliceOf(a account.ID, k Key, n int) Slice {
+// KeySliceOf returns the slice of a key of a client account among n slices.
+func KeySliceOf(a account.ID, k Key, n int) KeySlice {
 	h := xxhash.New()
 	_, _ = h.WriteString(string(a))
 	_, _ = h.Write([]byte{0})
 	_, _ = h.WriteString(string(k))
-	return Slice(h.Sum64() % uint64(n)) //nolint:gosec // n is a small positive constant
+	return KeySlice(h.Sum64() % uint64(n)) //nolint:gosec // n is a small positive constant
 }
 
 // ErrBadKey reports an invalid idempotency key.
--- a/modules/clock/system_test.go
+++ b/modules/clock/system_test.go
@@ -24,9 +24,9 @@
 
 func (f *fake) boot() (time.Duration, error) { return f.bootElapsed, f.err }
 
-// TestLook checks that suspensions count once, however often they are measured, and that nothing
+// TestUpdate checks that suspensions count once, however often they are measured, and that nothing
 // else counts.
-func TestLook(t *testing.T) {
+func TestUpdate(t *testing.T) {
 	type move struct{ elapsed, suspended time.Duration }
 	cases := map[string]struct {
 		moves []move
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestNotices checks that the first call of Now after a suspension detects it, because the wall
+// TestNowDetectsSuspension checks that the first call of Now after a suspension detects it, because the wall
 // clock has moved.
-func TestNotices(t *testing.T) {
+func TestNowDetectsSuspension(t *testing.T) {
 	cases := map[string]struct {
 		wallElapsed, bootElapsed, want time.Duration
 	}{
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestMachine checks that the clock of the machine that runs the test agrees with its monotonic
+// TestSystemOnThisMachine checks that the clock of the machine that runs the test agrees with its monotonic
 // clock, and that its boot clock can be read.
-func TestMachine(t *testing.T) {
+func TestSystemOnThisMachine(t *testing.T) {
 	s := NewSystem()
 	if s.noBootClock {
 		t.Fatal("the boot clock cannot be read")
--- a/modules/httpconn/httpconn_test.go
+++ b/modules/httpconn/httpconn_test.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestUnreached checks that connecting to an address without a listener fails at once.
-func TestUnreached(t *testing.T) {
+// TestTakeWithoutListener checks that connecting to an address without a listener fails at once.
+func TestTakeWithoutListener(t *testing.T) {
 	p := httpconn.NewPool()
 	if c, _, err := p.Take(t.Context(), time.Now(), "127.0.0.1:1"); err == nil || c != nil || p.Opened.Load() != 0 {
 		t.Errorf("connection %v, %v", c, err)
--- a/modules/httpconn/pool.go
+++ b/modules/httpconn/pool.go
@@ -79,9 +79,9 @@
 	p.idle[c.Address] = append(p.idle[c.Address], c)
 }
 
-// Reach opens a connection to an address and keeps it for the next request. An error that is
+// Preconnect opens a connection to an address and keeps it for the next request. An error that is
 // ECONNREFUSED means that no process listens there.
-func (p *Pool) Reach(ctx context.Context, now time.Time, address string) error {
+func (p *Pool) Preconnect(ctx context.Context, now time.Time, address string) error {
 	c, err := Dial(ctx, address)
 	if err != nil {
 		return err
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// Drop closes the idle connections to an address.
-func (p *Pool) Drop(address string) {
+// CloseIdle closes the idle connections to an address.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[address] {
--- a/modules/log/line.go
+++ b/modules/log/line.go
@@ -22,10 +22,10 @@
 	Text string
 }
 
-// ErrNoLine reports text that is not a log line of a process.
-type ErrNoLine struct{ Reason string }
+// ErrNotLogLine reports text that is not a log line of a process.
+type ErrNotLogLine struct{ Reason string }
 
-func (e ErrNoLine) Error() string { return "not a log line: " + e.Reason }
+func (e ErrNotLogLine) Error() string { return "not a log line: " + e.Reason }
 
 // timeKey starts each line; log collectors may add a prefix before it.
 const timeKey = "time="
@@ -35,7 +35,7 @@
 func ParseLine(text string) (Line, error) {
 	at := strings.Index(text, timeKey)
 	if at < 0 {
-		return Line{}, ErrNoLine{Reason: "it has no time field"}
+		return Line{}, ErrNotLogLine{Reason: "it has no time field"}
 	}
 	l := Line{Text: strings.TrimRight(text[at:], "\r\n"), Fields: map[string]string{}}
 	for rest := l.Text; rest != ""; {
@@ -48,7 +48,7 @@
 	}
 	var err error
 	if l.Time, err = time.Parse(time.RFC3339Nano, l.Fields["time"]); err != nil {
-		return Line{}, ErrNoLine{Reason: fmt.Sprintf("its time %q is invalid", l.Fields["time"])}
+		return Line{}, ErrNotLogLine{Reason: fmt.Sprintf("its time %q is invalid", l.Fields["time"])}
 	}
 	l.Process, l.Event = l.Fields["process"], l.Fields["event"]
 	return l, nil
@@ -58,7 +58,7 @@
 func nextField(text string) (key, value, rest string, err error) {
 	key, after, ok := strings.Cut(text, "=")
 	if !ok || key == "" || strings.Contains(key, " ") {
-		return "", "", "", ErrNoLine{Reason: fmt.Sprintf("%q does not start with key=value", text)}
+		return "", "", "", ErrNotLogLine{Reason: fmt.Sprintf("%q does not start with key=value", text)}
 	}
 	if !strings.HasPrefix(after, `"`) {
 		value, rest, _ = strings.Cut(after, " ")
@@ -66,10 +66,10 @@
 	}
 	quoted, err := strconv.QuotedPrefix(after)
 	if err != nil {
-		return "", "", "", ErrNoLine{Reason: fmt.Sprintf("the value of %s has no closing quote", key)}
+		return "", "", "", ErrNotLogLine{Reason: fmt.Sprintf("the value of %s has no closing quote", key)}
 	}
 	if value, err = strconv.Unquote(quoted); err != nil {
-		return "", "", "", ErrNoLine{Reason: fmt.Sprintf("the quoted value of %s is invalid", key)}
+		return "", "", "", ErrNotLogLine{Reason: fmt.Sprintf("the quoted value of %s is invalid", key)}
 	}
 	return key, value, after[len(quoted):], nil
 }
--- a/modules/log/line_test.go
+++ b/modules/log/line_test.go
@@ -54,7 +54,7 @@
 	}
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
-			var notLine log.ErrNoLine
+			var notLine log.ErrNotLogLine
 			if _, err := log.ParseLine(text); !errors.As(err, &notLine) {
 				t.Errorf("got %v", err)
 			}
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -80,7 +80,7 @@
 	// Routers lists the RPC addresses of initial routers; the VM list adds others.
 	Routers  []string      `yaml:"routers" validate:"min=1,dive,hostname_port"`
 	Upstream AgentUpstream `yaml:"upstream"`
-	Once     Once          `yaml:"once"`
+	Once     AtMostOnce          `yaml:"once"`
 }
 
 // AgentUpstream says which upstream an agent serves.
@@ -100,8 +100,8 @@
 	QueueLimit int `yaml:"queue_limit" validate:"min=0,max=1000000"`
 }
 
-// Once holds the settings for requests that may not be repeated.
-type Once struct {
+// AtMostOnce holds the settings for requests that may not be repeated.
+type AtMostOnce struct {
 	// Lifetime is how long a key is remembered. It is at most the log's retention, since a new
 	// owner restores the keys from the log.
 	Lifetime time.Duration `yaml:"lifetime" validate:"omitempty,min=1s"`
@@ -148,7 +148,7 @@
 		Process:  Process{LogLevel: "info", Heartbeat: DefaultHeartbeat},
 		Platform: Platform{Retention: time.Hour},
 		Upstream: AgentUpstream{Concurrency: 64, QueueLimit: 512, ExpertBytes: 8 << 20},
-		Once:     Once{Lifetime: 10 * time.Minute, Batch: 20 * time.Millisecond, Capacity: 200000, OutageAfter: 5 * time.Second},
+		Once:     AtMostOnce{Lifetime: 10 * time.Minute, Batch: 20 * time.Millisecond, Capacity: 200000, OutageAfter: 5 * time.Second},
 	}
 }
 
--- a/routers/operator.go
+++ b/routers/operator.go
@@ -149,6 +149,6 @@
 		}
 		f.Since = at
 	}
-	events, silent := w.Directory.CollectTimeline(c.Request.Context(), f)
+	events, silent := w.Directory.CollectEvents(c.Request.Context(), f)
 	c.JSON(http.StatusOK, TimelineAnswer{Events: events, Silent: silent})
 }
--- a/services/agent/agent.go
+++ b/services/agent/agent.go
@@ -75,8 +75,8 @@
 	HTTP, RPC net.Listener
 }
 
-// Outside holds the clients of the systems outside fawnwinch.
-type Outside struct {
+// Dependencies holds the clients of the systems outside fawnwinch.
+type Dependencies struct {
 	Log     services.Log
 	Weights services.WeightStore
 	// Engine is the client of the agent's own rank; Dial returns clients of the engines of other
@@ -89,7 +89,7 @@
 type EngineDialer func(address string) services.Engine
 
 // New returns an agent that is not started.
-func New(set setting.Agent, out Outside, ls Listeners, m *metrics.Metrics, ring *timeline.Ring, logger zerolog.Logger) (*Agent, error) {
+func New(set setting.Agent, out Dependencies, ls Listeners, m *metrics.Metrics, ring *timeline.Ring, logger zerolog.Logger) (*Agent, error) {
 	incarnation, err := uuid.NewV7()
 	if err != nil {
 		return nil, fmt.Errorf("make incarnation: %w", err)
--- a/services/agent/api.go
+++ b/services/agent/api.go
@@ -19,7 +19,7 @@
 type HandoverArgs struct {
 	// Owner is the owner of the slice as far as the caller knows.
 	Owner once.Owner
-	Slice request.Slice
+	Slice request.KeySlice
 }
 
 var errOtherIncarnation = eris.New("agent runs as another incarnation")
--- a/services/agent/coordinate.go
+++ b/services/agent/coordinate.go
@@ -127,7 +127,7 @@
 	res := s.round(ctx, coord, g, plan.Map)
 	s.recordEvent(g, "round", fmt.Sprintf("result=%s reason=%s moves=%d", res, plan.Reason, plan.Moves))
 	if res == expertswitch.ResultSwitched {
-		planner.Switched(clock.Now(), m)
+		planner.RecordSwitch(clock.Now(), m)
 	}
 	return nil
 }
@@ -178,7 +178,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return expertswitch.ResultGivenUp
+			return expertswitch.ResultTimedOut
 		case a := <-replies:
 			w.send(rctx, coord.Receive(clock.Now(), a.from, a.reply))
 		case <-ticker.C:
--- a/services/agent/handler.go
+++ b/services/agent/handler.go
@@ -111,7 +111,7 @@
 
 // serveShared passes a request that may be repeated to the upstream once its account is admitted.
 func (a *Agent) serveShared(w http.ResponseWriter, r *http.Request, c routerRequest) {
-	leave, refusal, err := a.gate.Enter(r.Context(), share.Item{Account: c.account, Deadline: c.deadline, Priority: c.priority})
+	leave, refusal, err := a.gate.Acquire(r.Context(), share.Item{Account: c.account, Deadline: c.deadline, Priority: c.priority})
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -249,14 +249,14 @@
 		return
 	}
 	key := request.Key(r.Header.Get(request.HeaderKey))
-	if request.SliceOf(c.account, key, once.Slices) != request.Slice(slice) {
+	if request.KeySliceOf(c.account, key, once.Slices) != request.KeySlice(slice) {
 		writeAnswer(w, once.Answer{Outcome: request.OutcomeNotRun, Reason: reasonBadRequest, Status: http.StatusBadRequest}, 0)
 		return
 	}
 	epoch, _ := strconv.ParseUint(r.Header.Get(dispatch.HeaderEpoch), 10, 64)
 	logAge, _ := strconv.Atoi(r.Header.Get(dispatch.HeaderLogAge))
 	attempt := once.Attempt{
-		Request: c.id, Key: once.NewKeyID(c.account, key), Slice: request.Slice(slice), Epoch: once.Epoch(epoch),
+		Request: c.id, Key: once.NewKeyID(c.account, key), Slice: request.KeySlice(slice), Epoch: once.Epoch(epoch),
 		Digest: requestDigest(r, c.body), Deadline: c.deadline, AskOnly: r.Header.Get(dispatch.HeaderAsk) != "",
 		RouterLogAge: time.Duration(logAge) * time.Millisecond,
 	}
@@ -273,7 +273,7 @@
 
 // runOnce waits until the account is admitted and sends the request to the upstream, once.
 func (a *Agent) runOnce(ctx context.Context, r *http.Request, c routerRequest) once.Answer {
-	leave, refusal, err := a.gate.Enter(ctx, share.Item{Account: c.account, Deadline: c.deadline, Priority: c.priority})
+	leave, refusal, err := a.gate.Acquire(ctx, share.Item{Account: c.account, Deadline: c.deadline, Priority: c.priority})
 	if err != nil {
 		return once.Answer{Outcome: request.OutcomeNotRun, Reason: string(share.ReasonDeadline)}
 	}
--- a/services/agent/links.go
+++ b/services/agent/links.go
@@ -36,7 +36,7 @@
 
 // healthy reports whether the router can serve as a home router.
 func (k *link) healthy(now time.Time, i membership.Interval) bool {
-	return !k.leaving && (k.failingSince.IsZero() || now.Sub(k.failingSince) < i.Beat())
+	return !k.leaving && (k.failingSince.IsZero() || now.Sub(k.failingSince) < i.Heartbeat())
 }
 
 // links sends heartbeats to the agent's home routers and keeps their replies. The other routers
@@ -81,7 +81,7 @@
 }
 
 func (l *links) run(ctx context.Context) {
-	ticker := time.NewTicker(l.interval.Beat())
+	ticker := time.NewTicker(l.interval.Heartbeat())
 	defer ticker.Stop()
 	var w sync.WaitGroup
 	for {
@@ -256,7 +256,7 @@
 func (l *links) recentReplies(now time.Time) []membership.Reply {
 	var out []membership.Reply
 	for _, k := range l.routers {
-		if !k.at.IsZero() && now.Sub(k.at) <= l.interval.Suspect() {
+		if !k.at.IsZero() && now.Sub(k.at) <= l.interval.SuspectAfter() {
 			out = append(out, k.reply)
 		}
 	}
--- a/services/agent/peers.go
+++ b/services/agent/peers.go
@@ -47,7 +47,7 @@
 		}
 		out = append(out, m)
 	}
-	return out, !l.first.IsZero() && now.Sub(l.first) > membersCompleteBeats*l.interval.Beat()
+	return out, !l.first.IsZero() && now.Sub(l.first) > membersCompleteBeats*l.interval.Heartbeat()
 }
 
 // Peer returns another agent of the service as the routers report it, preferably from a router that
@@ -79,7 +79,7 @@
 }
 
 // Handover requests the table of a slice from its owner.
-func (l *links) Handover(ctx context.Context, owner once.Owner, s request.Slice) (once.Table, error) {
+func (l *links) Handover(ctx context.Context, owner once.Owner, s request.KeySlice) (once.Table, error) {
 	cctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var t once.Table
@@ -87,9 +87,9 @@
 	return t, err
 }
 
-// Settle requests from every known router the keys of a slice that it sent without the log. It
+// CollectUnjournaledKeys requests from every known router the keys of a slice that it sent without the log. It
 // reports whether the keys are complete.
-func (l *links) Settle(ctx context.Context, s request.Slice, epoch once.Epoch) ([]once.KeyID, bool) {
+func (l *links) CollectUnjournaledKeys(ctx context.Context, s request.KeySlice, epoch once.Epoch) ([]once.KeyID, bool) {
 	l.mu.Lock()
 	var addresses []string
 	for address := range l.routers {
--- a/services/configlog/follower.go
+++ b/services/configlog/follower.go
@@ -129,8 +129,8 @@
 	return f.core.Peer()
 }
 
-// Contact returns the time of the latest successful read, or the zero time.
-func (f *Follower) Contact() time.Time {
+// LastContact returns the time of the latest successful read, or the zero time.
+func (f *Follower) LastContact() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lastContact
--- a/services/directory/beat.go
+++ b/services/directory/beat.go
@@ -41,7 +41,7 @@
 // routerBeat builds this router's heartbeat. The caller holds the lock.
 func (d *Directory) routerBeat(now time.Time) membership.RouterBeat {
 	peer := d.opts.Follower.Peer()
-	contact := d.opts.Follower.Contact()
+	contact := d.opts.Follower.LastContact()
 	age := now.Sub(contact)
 	if contact.IsZero() {
 		age = now.Sub(d.started)
@@ -131,7 +131,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for k, e := range f {
-		d.register.Raise(k, e)
+		d.register.RaiseFloor(k, e)
 	}
 	d.floorsKnown = true
 }
@@ -158,7 +158,7 @@
 	defer d.mu.Unlock()
 	nonce := d.table.ApplyBeat(now, b)
 	for sl, e := range b.Owned {
-		d.register.Raise(once.SliceKey{Service: b.Service, Slice: sl}, e)
+		d.register.RaiseFloor(once.SliceKey{Service: b.Service, Slice: sl}, e)
 	}
 	d.tracker.Report(b.Upstream, loadReport(now, b.Load))
 	closed := false
@@ -240,7 +240,7 @@
 		}
 		d.tracker.Report(id, loadReport(e.LoadAt, e.Beat.Load))
 		for sl, epoch := range e.Beat.Owned {
-			d.register.Raise(once.SliceKey{Service: e.Beat.Service, Slice: sl}, epoch)
+			d.register.RaiseFloor(once.SliceKey{Service: e.Beat.Service, Slice: sl}, epoch)
 		}
 	}
 }
@@ -262,7 +262,7 @@
 // SettleArgs requests the keys of a slice that a router sent without the log.
 type SettleArgs struct {
 	Service service.ID
-	Slice   request.Slice
+	Slice   request.KeySlice
 	Epoch   once.Epoch
 	// OutageAfter is how long the log must be unreachable before owners run keys without their
 	// journal.
@@ -285,7 +285,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r.Incarnation = d.opts.Self.Incarnation
-	r.Keys = d.register.Settle(now, once.SliceKey{Service: s.Service, Slice: s.Slice}, s.Epoch)
+	r.Keys = d.register.FenceAndListKeys(now, once.SliceKey{Service: s.Service, Slice: s.Slice}, s.Epoch)
 	r.Lost = d.routers.Lost(now, s.OutageAfter, s.Lifetime)
 	return nil
 }
@@ -296,8 +296,8 @@
 	return nil
 }
 
-// CollectTimeline returns the events of all known processes, and the processes that did not answer.
-func (d *Directory) CollectTimeline(ctx context.Context, f timeline.Filter) ([]timeline.Event, []string) {
+// CollectEvents returns the events of all known processes, and the processes that did not answer.
+func (d *Directory) CollectEvents(ctx context.Context, f timeline.Filter) ([]timeline.Event, []string) {
 	now := clock.Now()
 	d.mu.Lock()
 	targets := map[string]string{}
--- a/services/directory/directory.go
+++ b/services/directory/directory.go
@@ -87,7 +87,7 @@
 func (d *Directory) Run(ctx context.Context) {
 	var w sync.WaitGroup
 	w.Go(func() { d.every(ctx, listInterval, d.readList) })
-	w.Go(func() { d.every(ctx, d.opts.Interval.Beat(), d.sendBeats) })
+	w.Go(func() { d.every(ctx, d.opts.Interval.Heartbeat(), d.sendBeats) })
 	w.Go(func() { d.every(ctx, time.Second, d.maintain) })
 	w.Wait()
 }
@@ -159,7 +159,7 @@
 // the router has just started or does not know which owners were replaced, since it cannot confirm
 // an outage then.
 func (d *Directory) confirmedLogAge(now time.Time) time.Duration {
-	contact := d.opts.Follower.Contact()
+	contact := d.opts.Follower.LastContact()
 	if contact.IsZero() || now.Sub(d.started) < outageConfirmAfter || !d.floorsKnown {
 		return 0
 	}
@@ -169,7 +169,7 @@
 // logUnreachableFor returns how long the log has been unreachable for this router, counted from its
 // start if it has had no contact yet.
 func (d *Directory) logUnreachableFor(now time.Time) time.Duration {
-	if contact := d.opts.Follower.Contact(); !contact.IsZero() {
+	if contact := d.opts.Follower.LastContact(); !contact.IsZero() {
 		return now.Sub(contact)
 	}
 	return now.Sub(d.started)
@@ -222,11 +222,11 @@
 	d.tracker.Done(now, id)
 }
 
-// StreamBegan records that the response of such a request is streamed.
-func (d *Directory) StreamBegan(now time.Time, id upstream.ID) {
+// StreamStarted records that the response of such a request is streamed.
+func (d *Directory) StreamStarted(now time.Time, id upstream.ID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tracker.Streaming(now, id)
+	d.tracker.StreamStarted(now, id)
 }
 
 // StreamProgress records a token of a streamed response.
@@ -243,8 +243,8 @@
 	d.tracker.StreamEnded(id)
 }
 
-// Gone records that an agent is unreachable.
-func (d *Directory) Gone(e membership.Entry) {
+// MarkUnreachable records that an agent is unreachable.
+func (d *Directory) MarkUnreachable(e membership.Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.table.MarkUnreachable(clock.Now(), e.Beat.Upstream, e.Beat.Incarnation)
@@ -253,16 +253,16 @@
 // ErrNoOwner reports a slice without a live owner.
 type ErrNoOwner struct {
 	Service service.ID
-	Slice   request.Slice
+	Slice   request.KeySlice
 }
 
 func (e ErrNoOwner) Error() string {
 	return fmt.Sprintf("slice %d of %s has no live owner", e.Slice, e.Service)
 }
 
-// ErrLogOut reports that the log has been unreachable for so long that no slice can change its
+// ErrLogUnreachable reports that the log has been unreachable for so long that no slice can change its
 // owner soon.
-var ErrLogOut = eris.New("the log is unreachable")
+var ErrLogUnreachable = eris.New("the log is unreachable")
 
 // outageCertainAfter is how long the log must be unreachable before requests no longer wait for it.
 const outageCertainAfter = 3 * time.Second
@@ -281,7 +281,7 @@
 
 // Owner returns the owner of a slice. If the log is unreachable, the key is recorded in the
 // register first.
-func (d *Directory) Owner(now time.Time, s service.ID, sl request.Slice, key once.KeyID) (Ownership, error) {
+func (d *Directory) Owner(now time.Time, s service.ID, sl request.KeySlice, key once.KeyID) (Ownership, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e, epoch, ok := d.table.Owner(now, s, sl)
@@ -289,11 +289,11 @@
 	if !ok || e.Suspect {
 		noOwner := ErrNoOwner{Service: s, Slice: sl}
 		if d.logUnreachableFor(now) > outageCertainAfter {
-			return Ownership{}, fmt.Errorf("%w: %w", noOwner, ErrLogOut)
+			return Ownership{}, fmt.Errorf("%w: %w", noOwner, ErrLogUnreachable)
 		}
 		return Ownership{}, noOwner
 	}
-	if err := d.register.Send(now, once.SliceKey{Service: s, Slice: sl}, epoch, key, age > 0 && age > minConfirmedOutage); err != nil {
+	if err := d.register.AdmitSend(now, once.SliceKey{Service: s, Slice: sl}, epoch, key, age > 0 && age > minConfirmedOutage); err != nil {
 		return Ownership{}, fmt.Errorf("slice %d of %s: %w", sl, s, err)
 	}
 	if age <= minConfirmedOutage {
@@ -333,7 +333,7 @@
 func (d *Directory) Ready(now time.Time) bool {
 	d.mu.Lock()
 	others := len(d.routers.Live(now)) - 1
-	discovered := now.Sub(d.started) > d.opts.Interval.Suspect()
+	discovered := now.Sub(d.started) > d.opts.Interval.SuspectAfter()
 	d.mu.Unlock()
 	if !d.opts.Follower.Ready(min(others, minConfigPeers)) {
 		return false
--- a/services/directory/status.go
+++ b/services/directory/status.go
@@ -37,8 +37,8 @@
 	Processes []ProcessStatus `json:"processes"`
 }
 
-// Everywhere reports whether every process that is not suspect has at least a revision in force.
-func (s *Status) Everywhere(rev intent.Revision) bool {
+// HasRevision reports whether every process that is not suspect has at least a revision in force.
+func (s *Status) HasRevision(rev intent.Revision) bool {
 	return !slices.ContainsFunc(s.Processes, func(p ProcessStatus) bool { return p.Revision < rev && p.State != "suspect" })
 }
 
--- a/services/dispatch/attempt.go
+++ b/services/dispatch/attempt.go
@@ -41,7 +41,7 @@
 	// once marks a request that may not be repeated; slice and epoch identify the owner that it is
 	// sent to.
 	once  bool
-	slice request.Slice
+	slice request.KeySlice
 	epoch once.Epoch
 	// ask marks a query for the outcome of an earlier attempt: the request must not run now.
 	ask    bool
@@ -117,7 +117,7 @@
 		return resp, attemptEnd{}
 	}
 	if httpx.NotSent(err) {
-		d.dir.Gone(e)
+		d.dir.MarkUnreachable(e)
 		return nil, attemptEnd{kind: kindNotSent, reason: "unreachable"}
 	}
 	return nil, broken(ctx, err)
--- a/services/dispatch/once.go
+++ b/services/dispatch/once.go
@@ -26,13 +26,13 @@
 // that the key has not run for this request, it retries at the current owner of the slice. After an
 // attempt that broke off it only queries the outcome of that attempt.
 func (d *Dispatcher) doOnce(ctx context.Context, r *Request) Result {
-	slice := request.SliceOf(r.Account, r.Key, once.Slices)
+	slice := request.KeySliceOf(r.Account, r.Key, once.Slices)
 	last := Result{Outcome: request.OutcomeNotRun, Reason: ReasonNoOwner}
 	ask := false
 	deadline := clock.Now().Add(ownerTimeout)
 	for n := 1; ctx.Err() == nil && clock.Now().Before(deadline); n++ {
 		owner, err := d.dir.Owner(clock.Now(), r.Service.ID, slice, once.NewKeyID(r.Account, r.Key))
-		if errors.Is(err, directory.ErrLogOut) {
+		if errors.Is(err, directory.ErrLogUnreachable) {
 			// No slice changes hands while the log is unreachable: waiting cannot help.
 			return late(last, ask)
 		}
--- a/services/dispatch/stream.go
+++ b/services/dispatch/stream.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return attemptEnd{kind: kindNotSent, reason: err.Error()}
 	}
-	d.dir.StreamBegan(clock.Now(), e.Beat.Upstream)
+	d.dir.StreamStarted(clock.Now(), e.Beat.Upstream)
 	defer d.dir.StreamEnded(e.Beat.Upstream)
 	sink = &progressSink{Sink: sink, dir: d.dir, upstream: e.Beat.Upstream}
 	resp, end := d.open(ctx, e, r, attemptOptions{body: body})
--- a/services/election/election.go
+++ b/services/election/election.go
@@ -27,13 +27,13 @@
 const offsetBits = 32
 
 // AuthorityAt returns the authority of the last claim before a position.
-func AuthorityAt(end services.Place) Authority {
+func AuthorityAt(end services.Position) Authority {
 	return Authority(end.Era)<<offsetBits | Authority(end.Offset)&(1<<offsetBits-1)
 }
 
 // End returns the position at which the stream of claims ends after the claim.
-func (a Authority) End() services.Place {
-	return services.Place{Era: services.Era(a >> offsetBits), Offset: services.Offset(a & (1<<offsetBits - 1))}
+func (a Authority) End() services.Position {
+	return services.Position{Era: services.Era(a >> offsetBits), Offset: services.Offset(a & (1<<offsetBits - 1))}
 }
 
 // Lead is the announcement that a coordinator sends to the agents of its group.
--- a/services/entry/api.go
+++ b/services/entry/api.go
@@ -58,7 +58,7 @@
 }
 
 // position returns the position at which the feed continues.
-func (e FeedProgress) position() services.Place { return services.Place{Era: e.Era, Offset: e.Next} }
+func (e FeedProgress) position() services.Position { return services.Position{Era: e.Era, Offset: e.Next} }
 
 // asOf returns when the feed was known to end at that position. Age counts from the sending of the
 // request at asked, so that state does not appear fresher by its time in transit.
@@ -127,7 +127,7 @@
 func (n *UpstreamDelta) changes() []services.Change[upstream.Instance] {
 	out := make([]services.Change[upstream.Instance], len(n.Changes))
 	for i, c := range n.Changes {
-		out[i] = services.Change[upstream.Instance]{Key: c.Key, Value: c.Value, At: services.Place{Era: c.Era, Offset: c.At}}
+		out[i] = services.Change[upstream.Instance]{Key: c.Key, Value: c.Value, At: services.Position{Era: c.Era, Offset: c.At}}
 	}
 	return out
 }
@@ -154,7 +154,7 @@
 // Catalogs returns the delta of the feed of catalogs.
 func (a *API) Catalogs(since DeltaRequest, reply *CatalogDelta) error {
 	now := clock.Now()
-	a.r.opts.Relay.Know(func(s *knowledge.State) {
+	a.r.opts.Relay.WithState(func(s *knowledge.State) {
 		reply.Extent = catalogProgress(now, s)
 		if s.Index() == nil || since.Known && since.Version >= s.Version() {
 			return
@@ -173,10 +173,10 @@
 // Upstreams returns the delta of the feed of upstreams.
 func (a *API) Upstreams(since DeltaRequest, reply *UpstreamDelta) error {
 	now := clock.Now()
-	a.r.opts.Relay.Know(func(s *knowledge.State) {
+	a.r.opts.Relay.WithState(func(s *knowledge.State) {
 		reply.Extent = progressOf(now, s.Upstreams())
 		if since.Known {
-			if changes, ok := s.UpstreamsSince(services.Place{Era: since.Era, Offset: since.Next}); ok {
+			if changes, ok := s.UpstreamsSince(services.Position{Era: since.Era, Offset: since.Next}); ok {
 				reply.Changes = newUpstreamChanges(changes)
 				return
 			}
--- a/services/entry/entry.go
+++ b/services/entry/entry.go
@@ -40,9 +40,9 @@
 	PutNodes(ctx context.Context, nodes []peer.Info) error
 	// Refused returns the feed of quarantined requests: those refused because upstreams crashed
 	// while running them.
-	Refused() services.Feed[quarantine.Entry]
-	// PutRefused stores entries of such requests, and deletes others by name.
-	PutRefused(ctx context.Context, entries []quarantine.Entry, drop []string) error
+	Quarantined() services.Feed[quarantine.Entry]
+	// PutQuarantined stores entries of such requests, and deletes others by name.
+	PutQuarantined(ctx context.Context, entries []quarantine.Entry, drop []string) error
 	// Era returns the newest era that the store has reported.
 	Era() services.Era
 }
@@ -188,28 +188,28 @@
 
 func (r *Router) mark(of func(*knowledge.State) knowledge.Watermark) knowledge.Watermark {
 	var m knowledge.Watermark
-	r.opts.Relay.Know(func(s *knowledge.State) { m = of(s) })
+	r.opts.Relay.WithState(func(s *knowledge.State) { m = of(s) })
 	return m
 }
 
 // version returns the version of the catalog in force.
 func (r *Router) version() catalog.Version {
 	var v catalog.Version
-	r.opts.Relay.Know(func(s *knowledge.State) { v = s.Version() })
+	r.opts.Relay.WithState(func(s *knowledge.State) { v = s.Version() })
 	return v
 }
 
 // proofFrom returns the time from which reads can confirm the catalog as the newest after a restore
 // of the store, and whether that confirmation is still missing.
 func (r *Router) proofFrom() (from time.Time, ok bool) {
-	r.opts.Relay.Know(func(s *knowledge.State) { from, ok = s.ProofFrom() })
+	r.opts.Relay.WithState(func(s *knowledge.State) { from, ok = s.ProofFrom() })
 	return from, ok
 }
 
 // era returns the newest known era of the store, from the store's responses or from other routers.
 func (r *Router) era() services.Era {
 	era := r.opts.Store.Era()
-	r.opts.Relay.Know(func(s *knowledge.State) { era = max(era, s.Catalogs().Next.Era, s.Upstreams().Next.Era) })
+	r.opts.Relay.WithState(func(s *knowledge.State) { era = max(era, s.Catalogs().Next.Era, s.Upstreams().Next.Era) })
 	return era
 }
 
@@ -247,7 +247,7 @@
 // becomeReady begins to accept callers once the state is complete.
 func (r *Router) becomeReady() {
 	complete := false
-	r.opts.Relay.Know(func(s *knowledge.State) { complete = s.Complete() })
+	r.opts.Relay.WithState(func(s *knowledge.State) { complete = s.Complete() })
 	if complete && r.Self().State == peer.StateStarting {
 		r.setState(peer.StateReady)
 		r.opts.Logger.Info().Msg("ready")
--- a/services/entry/entry_test.go
+++ b/services/entry/entry_test.go
@@ -37,17 +37,17 @@
 
 type read[T any] struct {
 	changes []services.Change[T]
-	next    services.Place
+	next    services.Position
 	err     error
 	// whole reports whether a snapshot is expected; from is the expected start of a read of
 	// changes.
 	whole bool
-	from  services.Place
+	from  services.Position
 }
 
 var errWrongRead = errors.New("wrong read")
 
-func (s *script[T]) respond(ctx context.Context, whole bool, from services.Place) ([]services.Change[T], services.Place, error) {
+func (s *script[T]) respond(ctx context.Context, whole bool, from services.Position) ([]services.Change[T], services.Position, error) {
 	select {
 	case r := <-s.reads:
 		if r.whole != whole || r.from != from {
@@ -55,15 +55,15 @@
 		}
 		return r.changes, r.next, r.err
 	case <-ctx.Done():
-		return nil, services.Place{}, ctx.Err()
+		return nil, services.Position{}, ctx.Err()
 	}
 }
 
-func (s *script[T]) Snapshot(ctx context.Context) ([]services.Change[T], services.Place, error) {
-	return s.respond(ctx, true, services.Place{})
+func (s *script[T]) Snapshot(ctx context.Context) ([]services.Change[T], services.Position, error) {
+	return s.respond(ctx, true, services.Position{})
 }
 
-func (s *script[T]) Changes(ctx context.Context, from services.Place, _ time.Duration) ([]services.Change[T], services.Place, error) {
+func (s *script[T]) Changes(ctx context.Context, from services.Position, _ time.Duration) ([]services.Change[T], services.Position, error) {
 	return s.respond(ctx, false, from)
 }
 
@@ -90,7 +90,7 @@
 	defer cancel()
 	var got []string
 	var failures []error
-	var notified []services.Place
+	var notified []services.Position
 	var mark knowledge.Watermark
 	f := &follower[int]{
 		feed: s, wake: make(chan struct{}, 1),
@@ -122,7 +122,7 @@
 	if want := []string{"a*", "b", "", "c*", ""}; !slices.Equal(got, want) || len(failures) != 2 || errors.Is(failures[1], errWrongRead) {
 		t.Errorf("took %q, want %q; failures %v", got, want, failures)
 	}
-	if !slices.Equal(notified, []services.Place{place(4), place(5), place(9)}) {
+	if !slices.Equal(notified, []services.Position{place(4), place(5), place(9)}) {
 		t.Errorf("notified the others at %v, want one notification for each advance", notified)
 	}
 }
@@ -198,14 +198,14 @@
 
 type silentFeed[T any] struct{}
 
-func (silentFeed[T]) Snapshot(ctx context.Context) ([]services.Change[T], services.Place, error) {
+func (silentFeed[T]) Snapshot(ctx context.Context) ([]services.Change[T], services.Position, error) {
 	<-ctx.Done()
-	return nil, services.Place{}, ctx.Err()
+	return nil, services.Position{}, ctx.Err()
 }
 
-func (silentFeed[T]) Changes(ctx context.Context, _ services.Place, _ time.Duration) ([]services.Change[T], services.Place, error) {
+func (silentFeed[T]) Changes(ctx context.Context, _ services.Position, _ time.Duration) ([]services.Change[T], services.Position, error) {
 	<-ctx.Done()
-	return nil, services.Place{}, ctx.Err()
+	return nil, services.Position{}, ctx.Err()
 }
 
 func (silentStore) Catalogs() services.Feed[catalog.Catalog] { return silentFeed[catalog.Catalog]{} }
@@ -214,9 +214,9 @@
 	return silentFeed[upstream.Instance]{}
 }
 func (silentStore) Nodes() services.Feed[peer.Info]          { return silentFeed[peer.Info]{} }
-func (silentStore) Refused() services.Feed[quarantine.Entry] { return silentFeed[quarantine.Entry]{} }
+func (silentStore) Quarantined() services.Feed[quarantine.Entry] { return silentFeed[quarantine.Entry]{} }
 
-func (silentStore) PutRefused(ctx context.Context, _ []quarantine.Entry, _ []string) error {
+func (silentStore) PutQuarantined(ctx context.Context, _ []quarantine.Entry, _ []string) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -284,7 +284,7 @@
 		a, ra, address := router(t, "a")
 		old := time.Now().Add(-300 * time.Millisecond)
 		u := upstream.Instance{ID: "u", Service: "s", State: upstream.StateReady}
-		ra.Know(func(s *knowledge.State) {
+		ra.WithState(func(s *knowledge.State) {
 			c := catalog.Catalog{Version: 7, Services: []catalog.Service{{ID: "s"}}, Accounts: []catalog.Account{{ID: "x", Keys: []catalog.Key{"k"}}}}
 			s.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(5), AsOf: old, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
 			s.ApplyUpstreams(old, knowledge.Segment[upstream.Instance]{Whole: true, Next: place(9), AsOf: old, Changes: []services.Change[upstream.Instance]{{Key: "u", Value: &u}}})
@@ -292,7 +292,7 @@
 		a.becomeReady()
 		b, rb, _ := router(t, "b", address)
 		until(t, "router b ready", b.Ready)
-		rb.Know(func(s *knowledge.State) {
+		rb.WithState(func(s *knowledge.State) {
 			if s.Index().Version != 7 || s.Index().Account("k") == nil || len(s.Usable(time.Now(), "s")) != 1 {
 				t.Errorf("borrowed version %d", s.Index().Version)
 			}
@@ -323,21 +323,21 @@
 // Era implements Store.
 func (k *refusedStore) Era() services.Era { return k.era }
 
-func (k *refusedStore) Refused() services.Feed[quarantine.Entry] { return k }
+func (k *refusedStore) Quarantined() services.Feed[quarantine.Entry] { return k }
 
-func (k *refusedStore) Snapshot(context.Context) ([]services.Change[quarantine.Entry], services.Place, error) {
+func (k *refusedStore) Snapshot(context.Context) ([]services.Change[quarantine.Entry], services.Position, error) {
 	var out []services.Change[quarantine.Entry]
 	for name, e := range k.entries {
 		out = append(out, services.Change[quarantine.Entry]{Key: name, Value: &e})
 	}
-	return out, services.Place{Era: k.era}, nil
+	return out, services.Position{Era: k.era}, nil
 }
 
-func (k *refusedStore) Changes(context.Context, services.Place, time.Duration) ([]services.Change[quarantine.Entry], services.Place, error) {
-	return nil, services.Place{}, errWrongRead
+func (k *refusedStore) Changes(context.Context, services.Position, time.Duration) ([]services.Change[quarantine.Entry], services.Position, error) {
+	return nil, services.Position{}, errWrongRead
 }
 
-func (k *refusedStore) PutRefused(_ context.Context, entries []quarantine.Entry, drop []string) error {
+func (k *refusedStore) PutQuarantined(_ context.Context, entries []quarantine.Entry, drop []string) error {
 	for _, e := range entries {
 		k.entries[e.Name()] = e
 	}
--- a/services/entry/follow.go
+++ b/services/entry/follow.go
@@ -75,7 +75,7 @@
 
 // progress is a position in a feed and a version, which the store may have lost since.
 type progress struct {
-	next    services.Place
+	next    services.Position
 	version catalog.Version
 }
 
@@ -151,7 +151,7 @@
 	mark := f.mark()
 	isReader := f.isReader(now)
 	if mark.Known() {
-		f.recordFurthest(now, progress{next: services.Place{Era: f.era()}})
+		f.recordFurthest(now, progress{next: services.Position{Era: f.era()}})
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -188,7 +188,7 @@
 		p.Changes, p.Next, err = f.feed.Changes(ctx, p.From, wait)
 	}
 	var trimmed services.ErrTrimmed
-	var returned services.ErrReturned
+	var returned services.ErrEraChanged
 	switch {
 	case errors.As(err, &trimmed):
 		f.logger.Warn().Str("feed", f.name).Stringer("from", trimmed.From).Msg("feed-trimmed")
@@ -196,7 +196,7 @@
 		return
 	case errors.As(err, &returned) && returned.Era > returned.From.Era:
 		f.logger.Warn().Str("feed", f.name).Stringer("from", returned.From).Uint64("era", uint64(returned.Era)).Msg("feed-begun-anew")
-		f.recordFurthest(clock.Now(), progress{next: services.Place{Era: returned.Era}})
+		f.recordFurthest(clock.Now(), progress{next: services.Position{Era: returned.Era}})
 		f.recordResult(false, nil)
 		return
 	}
--- a/services/entry/gossip.go
+++ b/services/entry/gossip.go
@@ -189,7 +189,7 @@
 // known.
 func (r *Router) gossipFor(now time.Time, to string) GossipExchange {
 	var h GossipExchange
-	r.opts.Relay.Know(func(s *knowledge.State) {
+	r.opts.Relay.WithState(func(s *knowledge.State) {
 		h.Catalogs, h.Upstreams = catalogProgress(now, s), progressOf(now, s.Upstreams())
 	})
 	h.Marks = r.watermarks()
--- a/services/entry/pull.go
+++ b/services/entry/pull.go
@@ -19,7 +19,7 @@
 func (r *Router) pullCatalogs(ctx context.Context, address string) (knowledge.Segment[catalog.Catalog], error) {
 	var base *catalog.Catalog
 	var known DeltaRequest
-	r.opts.Relay.Know(func(s *knowledge.State) {
+	r.opts.Relay.WithState(func(s *knowledge.State) {
 		if s.Index() != nil {
 			base, known = s.Index().Catalog, deltaRequest(s.Catalogs())
 			known.Version = base.Version
@@ -34,7 +34,7 @@
 	p.Next, p.AsOf, p.Vouch = n.Extent.position(), n.Extent.asOf(asked), n.Extent.confirmation(asked)
 	newest := n.Whole
 	if n.Change != nil {
-		changed, ok := base.Changed(n.Change)
+		changed, ok := base.Apply(n.Change)
 		if !ok {
 			return p, fmt.Errorf("received a change from catalog %d, but have catalog %d", n.Change.Base, base.Version)
 		}
@@ -63,7 +63,7 @@
 	var since time.Time
 	var pending, stillPending bool
 	now := clock.Now()
-	r.opts.Relay.Know(func(s *knowledge.State) {
+	r.opts.Relay.WithState(func(s *knowledge.State) {
 		before = s.Index()
 		_, pending = s.RewritePending()
 		fit = s.ApplyCatalogs(now, p)
@@ -84,7 +84,7 @@
 
 func (r *Router) applyUpstreams(p knowledge.Segment[upstream.Instance]) knowledge.Fit {
 	var fit knowledge.Fit
-	r.opts.Relay.Know(func(s *knowledge.State) { fit = s.ApplyUpstreams(clock.Now(), p) })
+	r.opts.Relay.WithState(func(s *knowledge.State) { fit = s.ApplyUpstreams(clock.Now(), p) })
 	if fit == knowledge.FitNew {
 		r.firstEra(p.Next.Era)
 		r.noteUpstreams(p)
--- a/services/entry/refused.go
+++ b/services/entry/refused.go
@@ -26,7 +26,7 @@
 	if len(put)+len(drop) == 0 {
 		return nil
 	}
-	if err := r.opts.Store.PutRefused(ctx, put, drop); err != nil {
+	if err := r.opts.Store.PutQuarantined(ctx, put, drop); err != nil {
 		return fmt.Errorf("store refused requests: %w", err)
 	}
 	for _, e := range put {
@@ -65,7 +65,7 @@
 // store was restored from a copy since this process started, its entries may have been cleared
 // since; the routers that ran then know which are still refused.
 func (r *Router) readRefused(ctx context.Context, known *registry) error {
-	entries, end, err := r.opts.Store.Refused().Snapshot(ctx)
+	entries, end, err := r.opts.Store.Quarantined().Snapshot(ctx)
 	if err != nil {
 		return fmt.Errorf("read refused requests: %w", err)
 	}
--- a/services/entry/register.go
+++ b/services/entry/register.go
@@ -156,15 +156,15 @@
 	if known.era == 0 || known.settledEra != known.era {
 		return
 	}
-	r.opts.Relay.Know(func(s *knowledge.State) { s.EndRewrite(now, known.era) })
+	r.opts.Relay.WithState(func(s *knowledge.State) { s.EndRewrite(now, known.era) })
 	r.catalogs.wakeUp()
 }
 
 // newlySettled reports whether the era of the latest registry read has settled here and is not
 // registered as settled.
 func (r *Router) newlySettled(known *registry) bool {
-	unsettled, at := true, services.Place{}
-	r.opts.Relay.Know(func(s *knowledge.State) {
+	unsettled, at := true, services.Position{}
+	r.opts.Relay.WithState(func(s *knowledge.State) {
 		_, unsettled = s.RewritePending()
 		at = s.Catalogs().Next
 	})
--- a/services/entry/return_test.go
+++ b/services/entry/return_test.go
@@ -82,9 +82,9 @@
 	return ctx.Err()
 }
 
-func (s *simStore) end() services.Place { return services.Place{Era: s.era}.After(len(s.log)) }
+func (s *simStore) end() services.Position { return services.Position{Era: s.era}.After(len(s.log)) }
 
-func changesOf(versions []catalog.Version, at services.Place) []services.Change[catalog.Catalog] {
+func changesOf(versions []catalog.Version, at services.Position) []services.Change[catalog.Catalog] {
 	var out []services.Change[catalog.Catalog]
 	for i, v := range versions {
 		out = append(out, services.Change[catalog.Catalog]{Key: "config", Value: &catalog.Catalog{Version: v}, At: at.After(i)})
@@ -92,9 +92,9 @@
 	return out
 }
 
-func (s *simStore) Snapshot(ctx context.Context) ([]services.Change[catalog.Catalog], services.Place, error) {
+func (s *simStore) Snapshot(ctx context.Context) ([]services.Change[catalog.Catalog], services.Position, error) {
 	if err := s.call(ctx); err != nil {
-		return nil, services.Place{}, err
+		return nil, services.Position{}, err
 	}
 	defer time.Sleep(storeLatency / 2)
 	s.mu.Lock()
@@ -104,7 +104,7 @@
 	return changesOf(newest, s.end()), s.end(), nil
 }
 
-func (s *simStore) Changes(ctx context.Context, from services.Place, wait time.Duration) ([]services.Change[catalog.Catalog], services.Place, error) {
+func (s *simStore) Changes(ctx context.Context, from services.Position, wait time.Duration) ([]services.Change[catalog.Catalog], services.Position, error) {
 	if err := s.call(ctx); err != nil {
 		return nil, from, err
 	}
@@ -119,7 +119,7 @@
 		case away:
 			return nil, from, errAway
 		case end.Era != from.Era:
-			return nil, from, services.ErrReturned{From: from, Era: end.Era}
+			return nil, from, services.ErrEraChanged{From: from, Era: end.Era}
 		case len(news) > 0 || !waiting:
 			return changesOf(news, from), from.After(len(news)), nil
 		}
@@ -200,14 +200,14 @@
 	return nil
 }
 
-func (c cutFeed) Snapshot(ctx context.Context) ([]services.Change[catalog.Catalog], services.Place, error) {
+func (c cutFeed) Snapshot(ctx context.Context) ([]services.Change[catalog.Catalog], services.Position, error) {
 	if err := c.reach(); err != nil {
-		return nil, services.Place{}, err
+		return nil, services.Position{}, err
 	}
 	return c.r.d.store.Snapshot(ctx)
 }
 
-func (c cutFeed) Changes(ctx context.Context, from services.Place, wait time.Duration) ([]services.Change[catalog.Catalog], services.Place, error) {
+func (c cutFeed) Changes(ctx context.Context, from services.Position, wait time.Duration) ([]services.Change[catalog.Catalog], services.Position, error) {
 	if err := c.reach(); err != nil {
 		return nil, from, err
 	}
--- a/services/entry/store_status.go
+++ b/services/entry/store_status.go
@@ -20,7 +20,7 @@
 	Unsettled bool
 	// Catalogs and Upstreams are the read positions of the feeds, and Version is that of the
 	// catalog in force.
-	Catalogs, Upstreams services.Place
+	Catalogs, Upstreams services.Position
 	Version             catalog.Version
 	// Proven reports whether the catalog was ever confirmed as the newest, and ProvenAge how long
 	// ago.
@@ -30,7 +30,7 @@
 
 func (r *Router) storeStatus(now time.Time) StoreStatus {
 	s := StoreStatus{Era: r.era()}
-	r.opts.Relay.Know(func(k *knowledge.State) {
+	r.opts.Relay.WithState(func(k *knowledge.State) {
 		since, unsettled := k.RewritePending()
 		s.Since, s.Unsettled = now.Sub(since), unsettled
 		s.Catalogs, s.Upstreams, s.Version = k.Catalogs().Next, k.Upstreams().Next, k.Version()
--- a/services/expertswitch/coordinator.go
+++ b/services/expertswitch/coordinator.go
@@ -58,8 +58,8 @@
 	ResultRecovered Result = "recovered"
 	// ResultReplaced means that a later coordinator has taken over.
 	ResultReplaced Result = "replaced"
-	// ResultGivenUp means that not every rank answered the promise in time; nothing was started.
-	ResultGivenUp Result = "given-up"
+	// ResultTimedOut means that not every rank answered the promise in time; nothing was started.
+	ResultTimedOut Result = "given-up"
 )
 
 // Coordinator leads one group through a change of map. It does no I/O and reads no clock.
@@ -176,7 +176,7 @@
 	elapsed := now.Sub(c.phaseStart)
 	switch {
 	case c.phase == PhasePromise && elapsed >= c.cfg.HoldLimit:
-		c.end(ResultGivenUp)
+		c.end(ResultTimedOut)
 		return nil
 	case c.phase == PhaseStage && elapsed >= c.cfg.StageLimit, c.phase == PhasePrepare && elapsed >= c.cfg.HoldLimit:
 		return c.enter(now, PhaseAbort)
--- a/services/knowledge/entry.go
+++ b/services/knowledge/entry.go
@@ -23,7 +23,7 @@
 type entry struct {
 	instance upstream.Instance
 	// at is the position of the entry in the feed.
-	at services.Place
+	at services.Position
 	// removedAt is when the entry was removed from the store, or zero. expired reports whether that
 	// is too long ago for the upstream to be used.
 	removedAt time.Time
@@ -36,7 +36,7 @@
 // relisted returns the entry of a run that is listed again at a position. A record from a copy
 // is not newer than what was known of the run before the restore: it neither gives back an address
 // nor reverts the fact that the run is leaving or has left.
-func (e *entry) relisted(now time.Time, i upstream.Instance, at services.Place, returned bool) *entry {
+func (e *entry) relisted(now time.Time, i upstream.Instance, at services.Position, returned bool) *entry {
 	next := &entry{instance: i, at: at}
 	if e.instance.State == upstream.StateLeaving {
 		next.instance.State = upstream.StateLeaving
--- a/services/knowledge/knowledge.go
+++ b/services/knowledge/knowledge.go
@@ -39,7 +39,7 @@
 	past []*catalog.Catalog
 	// recent holds the latest changes of upstreams without a gap, starting at recentFrom.
 	recent     []services.Change[upstream.Instance]
-	recentFrom services.Place
+	recentFrom services.Position
 	// catalogs and upstreams are the read positions of the two feeds.
 	catalogs, upstreams Watermark
 	// proof records when the catalog was last confirmed as the newest.
@@ -170,11 +170,11 @@
 
 // UpstreamsSince returns the changes of upstreams from a position up to the watermark, or false if
 // they are not kept.
-func (s *State) UpstreamsSince(from services.Place) ([]services.Change[upstream.Instance], bool) {
+func (s *State) UpstreamsSince(from services.Position) ([]services.Change[upstream.Instance], bool) {
 	if !s.upstreams.Known() || from.Before(s.recentFrom) || s.upstreams.Next.Before(from) {
 		return nil, false
 	}
-	i, _ := slices.BinarySearchFunc(s.recent, from, func(c services.Change[upstream.Instance], at services.Place) int { return c.At.Compare(at) })
+	i, _ := slices.BinarySearchFunc(s.recent, from, func(c services.Change[upstream.Instance], at services.Position) int { return c.At.Compare(at) })
 	return slices.Clone(s.recent[i:]), true
 }
 
@@ -184,7 +184,7 @@
 // put stores an entry. A run that was leaving once never becomes ready again, but the upstream may
 // restart under its id. A late entry of an earlier run is ignored. returned reports whether the
 // entry was read from the store after its restore from a copy.
-func (s *State) put(now time.Time, i upstream.Instance, at services.Place, returned bool) {
+func (s *State) put(now time.Time, i upstream.Instance, at services.Position, returned bool) {
 	e, ok := s.entries[i.ID]
 	if !ok || i.Born > e.instance.Born {
 		s.entries[i.ID] = &entry{instance: i, at: at}
--- a/services/knowledge/knowledge_test.go
+++ b/services/knowledge/knowledge_test.go
@@ -16,7 +16,7 @@
 var begin = time.Unix(1000, 0)
 
 // place returns a position in a store that was never restored from a copy.
-func place(o services.Offset) services.Place { return services.Place{Offset: o} }
+func place(o services.Offset) services.Position { return services.Position{Offset: o} }
 
 // TestCatalog checks that a catalog never reverts, and that only a confirmed end of the feed makes
 // it fresher.
--- a/services/knowledge/return_test.go
+++ b/services/knowledge/return_test.go
@@ -16,8 +16,8 @@
 // TestCatalogAfterRestore applies reads and updates from other routers, in the orders in which they
 // may arrive, after the store was restored from a copy.
 func TestCatalogAfterRestore(t *testing.T) {
-	at := func(era services.Era, o services.Offset) services.Place { return services.Place{Era: era, Offset: o} }
-	segment := func(whole bool, from, next services.Place, ms int, versions ...catalog.Version) Segment[catalog.Catalog] {
+	at := func(era services.Era, o services.Offset) services.Position { return services.Position{Era: era, Offset: o} }
+	segment := func(whole bool, from, next services.Position, ms int, versions ...catalog.Version) Segment[catalog.Catalog] {
 		p := Segment[catalog.Catalog]{Whole: whole, From: from, Next: next, AsOf: begin.Add(time.Duration(ms) * time.Millisecond)}
 		for _, v := range versions {
 			p.Changes = append(p.Changes, services.Change[catalog.Catalog]{Key: "config", Value: &catalog.Catalog{Version: v}})
@@ -25,18 +25,18 @@
 		return p
 	}
 	// Known before: version 48, up to offset 15 of era 1.
-	known := segment(true, services.Place{}, at(1, 15), 0, 48)
-	copied := segment(true, services.Place{}, at(2, 11), 100, 34)
+	known := segment(true, services.Position{}, at(1, 15), 0, 48)
+	copied := segment(true, services.Position{}, at(2, 11), 100, 34)
 	type step struct {
 		segment Segment[catalog.Catalog]
 		fit     Fit
 		version catalog.Version
-		next    services.Place
+		next    services.Position
 	}
 	cases := map[string][]step{
 		"the copy ends before":            {{copied, FitNew, 48, at(2, 11)}},
-		"the copy ends where the log did": {{segment(true, services.Place{}, at(2, 15), 100, 34), FitNew, 48, at(2, 15)}},
-		"and is overtaken by new records": {{segment(true, services.Place{}, at(2, 19), 100, 62), FitNew, 62, at(2, 19)}},
+		"the copy ends where the log did": {{segment(true, services.Position{}, at(2, 15), 100, 34), FitNew, 48, at(2, 15)}},
+		"and is overtaken by new records": {{segment(true, services.Position{}, at(2, 19), 100, 62), FitNew, 62, at(2, 19)}},
 		"no records of the new era are missed": {
 			{segment(false, at(2, 15), at(2, 15), 100), FitGap, 48, at(1, 15)},
 			{segment(false, at(2, 15), at(2, 16), 100, 52), FitGap, 48, at(1, 15)},
@@ -46,7 +46,7 @@
 			{copied, FitNew, 48, at(2, 11)},
 			{segment(false, at(1, 15), at(1, 15), 50), FitStale, 48, at(2, 11)},
 			{segment(false, at(1, 15), at(1, 16), 50), FitStale, 48, at(2, 11)},
-			{segment(true, services.Place{}, at(1, 20), 50, 48), FitStale, 48, at(2, 11)},
+			{segment(true, services.Position{}, at(1, 20), 50, 48), FitStale, 48, at(2, 11)},
 		},
 		"it holds a version that is lost": {
 			{copied, FitNew, 48, at(2, 11)},
@@ -54,7 +54,7 @@
 		},
 		"another router knows a version that is lost": {
 			{copied, FitNew, 48, at(2, 11)},
-			{segment(true, services.Place{}, at(2, 11), 120, 55), FitNew, 55, at(2, 11)},
+			{segment(true, services.Position{}, at(2, 11), 120, 55), FitNew, 55, at(2, 11)},
 		},
 		"the operator writes again, one by one": {
 			{copied, FitNew, 48, at(2, 11)},
@@ -62,7 +62,7 @@
 			{segment(false, at(2, 13), at(2, 14), 300, 52), FitNew, 52, at(2, 14)},
 		},
 		"two returns, of which one was not seen": {
-			{segment(true, services.Place{}, at(3, 10), 100, 31), FitNew, 48, at(3, 10)},
+			{segment(true, services.Position{}, at(3, 10), 100, 31), FitNew, 48, at(3, 10)},
 			{copied, FitStale, 48, at(3, 10)},
 		},
 	}
@@ -83,10 +83,10 @@
 // TestUpstreamsAfterRestore restores the store from a copy that lists upstreams as they were before
 // they left, arrived or restarted.
 func TestUpstreamsAfterRestore(t *testing.T) {
-	at := func(era services.Era, o services.Offset) services.Place { return services.Place{Era: era, Offset: o} }
+	at := func(era services.Era, o services.Offset) services.Position { return services.Position{Era: era, Offset: o} }
 	const ready, leaving = upstream.StateReady, upstream.StateLeaving
 	type changes = []services.Change[upstream.Instance]
-	up := func(id string, born upstream.Born, address string, state upstream.State, place services.Place) services.Change[upstream.Instance] {
+	up := func(id string, born upstream.Born, address string, state upstream.State, place services.Position) services.Change[upstream.Instance] {
 		i := &upstream.Instance{ID: upstream.ID(id), Born: born, Service: "s", Address: address, State: state}
 		return services.Change[upstream.Instance]{Key: id, Value: i, At: place}
 	}
--- a/services/knowledge/segment.go
+++ b/services/knowledge/segment.go
@@ -15,7 +15,7 @@
 	// used then.
 	Whole bool
 	// From and Next are the positions at which the segment begins and at which the feed continues.
-	From, Next services.Place
+	From, Next services.Position
 	// AsOf is a time at which the feed was known to end at Next. It is taken before the read is
 	// sent.
 	AsOf    time.Time
@@ -27,7 +27,7 @@
 // Watermark is the read position of a feed.
 type Watermark struct {
 	// Next is the position at which the feed continues.
-	Next services.Place
+	Next services.Position
 	// AsOf is the latest time at which Next was known to be the end of the feed; zero if nothing
 	// was read.
 	AsOf time.Time
@@ -56,7 +56,7 @@
 
 // advance compares a segment with the watermark, and advances the watermark if the segment can be
 // applied.
-func (m *Watermark) advance(whole bool, from, next services.Place, asOf time.Time) Fit {
+func (m *Watermark) advance(whole bool, from, next services.Position, asOf time.Time) Fit {
 	switch {
 	case m.Known() && next.Before(m.Next):
 		return FitStale
--- a/services/membership/message.go
+++ b/services/membership/message.go
@@ -25,12 +25,12 @@
 // same value at all processes; the other time limits of membership are multiples of it.
 type Interval time.Duration
 
-// Beat returns the time between two heartbeats.
-func (i Interval) Beat() time.Duration { return time.Duration(i) }
+// Heartbeat returns the time between two heartbeats.
+func (i Interval) Heartbeat() time.Duration { return time.Duration(i) }
 
-// Suspect returns the time without a heartbeat after which a process is suspect and gets no new
+// SuspectAfter returns the time without a heartbeat after which a process is suspect and gets no new
 // work.
-func (i Interval) Suspect() time.Duration { return 5 * time.Duration(i) }
+func (i Interval) SuspectAfter() time.Duration { return 5 * time.Duration(i) }
 
 // ProofMaxAge returns the maximum age of an agent's last proof of liveness at which a router
 // reports it to other routers as alive.
@@ -76,7 +76,7 @@
 	State       upstream.State
 	Revision    intent.Revision
 	Load        Load
-	Owned       map[request.Slice]once.Epoch
+	Owned       map[request.KeySlice]once.Epoch
 	// Known is the fingerprint of the lists in the router's latest full reply. Unchanged lists are not
 	// sent again, since the traffic would grow with the square of the number of agents.
 	Known uint64
--- a/services/membership/relay.go
+++ b/services/membership/relay.go
@@ -55,7 +55,7 @@
 // loadInterval returns the time between two reports of all loads to all peers, within the budget.
 func loadInterval(i Interval, agents, peers int) time.Duration {
 	need := time.Duration(agents*peers*loadBytes) * time.Second / loadBytesPerSecond
-	return max(i.Beat(), need)
+	return max(i.Heartbeat(), need)
 }
 
 // refreshInterval is the time after which the full state is sent again even if it has not changed.
@@ -129,7 +129,7 @@
 	}
 	slices.Sort(slicesOwned)
 	for _, s := range slicesOwned {
-		_, _ = fmt.Fprintf(h, " %d:%d", s, b.Owned[request.Slice(s)])
+		_, _ = fmt.Fprintf(h, " %d:%d", s, b.Owned[request.KeySlice(s)])
 	}
 	return max(h.Sum64(), 1)
 }
@@ -177,7 +177,7 @@
 
 func (t *Table) relayFull(now time.Time, d Digest) bool {
 	r, ok := t.agents[d.Beat.Upstream]
-	if ok && d.Beat.Incarnation < r.beat.Incarnation && now.Sub(r.lastBeat) < t.interval.Suspect() {
+	if ok && d.Beat.Incarnation < r.beat.Incarnation && now.Sub(r.lastBeat) < t.interval.SuspectAfter() {
 		return false
 	}
 	if !ok || r.beat.Incarnation != d.Beat.Incarnation {
--- a/services/membership/relay_test.go
+++ b/services/membership/relay_test.go
@@ -33,7 +33,7 @@
 	}
 	now := start
 	tick := func(state upstream.State, load int) Relay {
-		now = now.Add(testInterval.Beat())
+		now = now.Add(testInterval.Heartbeat())
 		beat(now, state, load)
 		return relay(now)
 	}
@@ -52,23 +52,23 @@
 	tick(upstream.StateReady, 4)
 	check(now, "back", false, false, 4)
 	for range 10 {
-		now = now.Add(testInterval.Beat())
+		now = now.Add(testInterval.Heartbeat())
 		relay(now)
 	}
 	check(now, "agent became silent", true, false, 4)
 	tick(upstream.StateReady, 5)
 	tick(upstream.StateReady, 5)
 	check(now, "agent alive again", false, false, 5)
-	check(now.Add(testInterval.Suspect()+testInterval.Beat()), "home router became silent", true, false, 5)
+	check(now.Add(testInterval.SuspectAfter()+testInterval.Heartbeat()), "home router became silent", true, false, 5)
 
 	// The message that lists the agent as silent is lost.
 	for range 3 {
-		now = now.Add(testInterval.Beat())
+		now = now.Add(testInterval.Heartbeat())
 		out.Message(now, "other", home)
 	}
 	out.Forget("other")
 	for range 10 {
-		now = now.Add(testInterval.Beat())
+		now = now.Add(testInterval.Heartbeat())
 		relay(now)
 	}
 	check(now, "agent silent after a lost message", true, false, 5)
@@ -79,7 +79,7 @@
 		agents, peers int
 		want          time.Duration
 	}{
-		"today":  {5, 6, testInterval.Beat()},
+		"today":  {5, 6, testInterval.Heartbeat()},
 		"target": {39, 19, 2778750 * time.Microsecond},
 	}
 	for name, tc := range cases {
--- a/services/membership/routers.go
+++ b/services/membership/routers.go
@@ -68,7 +68,7 @@
 		}
 	}
 	for _, p := range r.peers {
-		if !listed[p.Info.RPC] && p.deadSince.IsZero() && now.Sub(p.LastBeat) > r.interval.Suspect() {
+		if !listed[p.Info.RPC] && p.deadSince.IsZero() && now.Sub(p.LastBeat) > r.interval.SuspectAfter() {
 			p.deadSince = now
 		}
 	}
@@ -126,7 +126,7 @@
 func (r *Routers) Live(now time.Time) []RouterInfo {
 	out := []RouterInfo{r.self}
 	for _, p := range r.peers {
-		if now.Sub(p.LastBeat) <= r.interval.Suspect() && !p.gossipOnly {
+		if now.Sub(p.LastBeat) <= r.interval.SuspectAfter() && !p.gossipOnly {
 			out = append(out, p.Info)
 		}
 	}
@@ -149,7 +149,7 @@
 func (r *Routers) Peers(now time.Time) []Peer {
 	var out []Peer
 	for _, p := range r.peers {
-		if now.Sub(p.LastBeat) <= r.interval.Suspect() && !p.gossipOnly {
+		if now.Sub(p.LastBeat) <= r.interval.SuspectAfter() && !p.gossipOnly {
 			out = append(out, *p)
 		}
 	}
@@ -165,7 +165,7 @@
 // AnchoredElsewhere reports whether another live router has an exact configuration state.
 func (r *Routers) AnchoredElsewhere(now time.Time) bool {
 	for _, p := range r.peers {
-		if p.Anchored && now.Sub(p.LastBeat) <= r.interval.Suspect() {
+		if p.Anchored && now.Sub(p.LastBeat) <= r.interval.SuspectAfter() {
 			return true
 		}
 	}
@@ -177,7 +177,7 @@
 func (r *Routers) Lost(now time.Time, outageAfter, lifetime time.Duration) []Lost {
 	var out []Lost
 	for inc, p := range r.peers {
-		silent := now.Sub(p.LastBeat) > r.interval.Suspect() || p.gossipOnly
+		silent := now.Sub(p.LastBeat) > r.interval.SuspectAfter() || p.gossipOnly
 		resolved := p.Retired || (!p.deadSince.IsZero() && p.deadSince.Sub(p.Fresh) < outageAfter)
 		if !silent || resolved || now.Sub(p.LastBeat) > lifetime {
 			continue
--- a/services/membership/table.go
+++ b/services/membership/table.go
@@ -83,7 +83,7 @@
 // an earlier incarnation is ignored while a later one is alive.
 func (t *Table) ApplyBeat(now time.Time, b Beat) uint64 {
 	r, ok := t.agents[b.Upstream]
-	if ok && b.Incarnation < r.beat.Incarnation && now.Sub(r.lastBeat) < t.interval.Suspect() {
+	if ok && b.Incarnation < r.beat.Incarnation && now.Sub(r.lastBeat) < t.interval.SuspectAfter() {
 		return 0
 	}
 	if !ok || r.beat.Incarnation != b.Incarnation {
@@ -137,7 +137,7 @@
 // proves reports whether an echo matches a recent nonce, which shows that the agent is alive.
 func (r *record) proves(now time.Time, echo uint64, i Interval) bool {
 	return slices.ContainsFunc(r.nonces, func(n nonce) bool {
-		return n.value == echo && now.Sub(n.at) < i.Suspect()
+		return n.value == echo && now.Sub(n.at) < i.SuspectAfter()
 	})
 }
 
@@ -171,7 +171,7 @@
 		return Entry{}, false
 	}
 	e := Entry{Beat: r.beat, LastBeat: r.lastBeat, LoadAt: r.loadAt}
-	e.Suspect = !r.lastBeat.After(r.unreachableAt) || now.Sub(r.lastBeat) > t.interval.Suspect()
+	e.Suspect = !r.lastBeat.After(r.unreachableAt) || now.Sub(r.lastBeat) > t.interval.SuspectAfter()
 	e.Leaving = !r.leavingSince.IsZero() || t.vms[r.beat.RPC] == vm.StateLeaving || now.Before(t.reportedLeaving[id])
 	return e, true
 }
@@ -219,7 +219,7 @@
 }
 
 // Owner returns the upstream that reports the highest epoch of a slice.
-func (t *Table) Owner(now time.Time, s service.ID, sl request.Slice) (Entry, once.Epoch, bool) {
+func (t *Table) Owner(now time.Time, s service.ID, sl request.KeySlice) (Entry, once.Epoch, bool) {
 	var best Entry
 	var high once.Epoch
 	found := false
--- a/services/membership/table_test.go
+++ b/services/membership/table_test.go
@@ -32,7 +32,7 @@
 	}{
 		"one beat proves nothing": {func(tb *Table) { tb.ApplyBeat(start, beat("b", upstream.StateReady, 0)) }, 0, true, false},
 		"an echo proves":          {func(tb *Table) { live(tb) }, 0, false, false},
-		"silence":                 {func(tb *Table) { live(tb) }, testInterval.Suspect() + 1, true, false},
+		"silence":                 {func(tb *Table) { live(tb) }, testInterval.SuspectAfter() + 1, true, false},
 		"an old echo of a suspended agent": {func(tb *Table) {
 			n := live(tb)
 			tb.ApplyBeat(start.Add(time.Minute), beat("b", upstream.StateReady, n))
--- a/services/once/core.go
+++ b/services/once/core.go
@@ -52,7 +52,7 @@
 // entry is an owner's record of one key.
 type entry struct {
 	key    KeyID
-	slice  request.Slice
+	slice  request.KeySlice
 	epoch  Epoch
 	state  State
 	digest request.Digest
@@ -115,7 +115,7 @@
 	unsent      []KeyID
 	answerBytes int
 	// receivedTables holds the tables received for slices that this process is about to take.
-	receivedTables map[request.Slice]Table
+	receivedTables map[request.KeySlice]Table
 	actions        []Action
 }
 
@@ -141,7 +141,7 @@
 func NewCore(cfg Config, self Owner) *Core {
 	return &Core{
 		cfg: cfg, self: self, entries: map[KeyID]*entry{},
-		forbidden: map[request.ID]time.Time{}, receivedTables: map[request.Slice]Table{},
+		forbidden: map[request.ID]time.Time{}, receivedTables: map[request.KeySlice]Table{},
 	}
 }
 
@@ -153,11 +153,11 @@
 func (c *Core) CaughtUp() bool { return c.started && c.next >= c.tail }
 
 // Owned returns the slices that this process owns, with their epochs.
-func (c *Core) Owned() map[request.Slice]Epoch {
-	out := map[request.Slice]Epoch{}
+func (c *Core) Owned() map[request.KeySlice]Epoch {
+	out := map[request.KeySlice]Epoch{}
 	for i := range c.slices {
 		if c.slices[i].owner == c.self && c.slices[i].known {
-			out[request.Slice(i)] = c.slices[i].epoch
+			out[request.KeySlice(i)] = c.slices[i].epoch
 		}
 	}
 	return out
--- a/services/once/explore_test.go
+++ b/services/once/explore_test.go
@@ -21,7 +21,7 @@
 	exploreSeeds    = 6000
 	exploreOutage   = 2 * time.Second
 	exploreLifetime = time.Hour
-	exploreSlice    = request.Slice(0)
+	exploreSlice    = request.KeySlice(0)
 	// With a journal that drops records, exploreRetention is the retention of records and the
 	// lifetime of keys, and exploreCallerTimeout the time-out of callers. A key is used for
 	// exploreKeyUse, so that retries arrive within the lifetime of the key.
@@ -233,7 +233,7 @@
 	}
 	key := NewKeyID("account", request.Key(n))
 	age := x.now.Sub(r.contact)
-	if r.reg.Send(x.now, SliceKey{Slice: exploreSlice}, r.epoch, key, age > exploreOutage/2) != nil {
+	if r.reg.AdmitSend(x.now, SliceKey{Slice: exploreSlice}, r.epoch, key, age > exploreOutage/2) != nil {
 		return
 	}
 	if age <= exploreOutage/2 {
@@ -257,7 +257,7 @@
 	a := x.agents[x.rnd.IntN(len(x.agents))]
 	if e, ok := a.core.Owned()[exploreSlice]; ok && !a.paused && e >= r.epoch {
 		r.view, r.epoch = a, e
-		r.reg.Raise(SliceKey{Slice: exploreSlice}, e)
+		r.reg.RaiseFloor(SliceKey{Slice: exploreSlice}, e)
 	}
 }
 
@@ -280,7 +280,7 @@
 			continue
 		}
 		for k, e := range o.reg.Floors() {
-			fresh.reg.Raise(k, e)
+			fresh.reg.RaiseFloor(k, e)
 			fresh.epoch = e
 		}
 	}
@@ -432,7 +432,7 @@
 			a.core.Receive(t)
 		}
 	}
-	x.append(a, a.core.TakeRecord([]request.Slice{exploreSlice}))
+	x.append(a, a.core.TakeRecord([]request.KeySlice{exploreSlice}))
 }
 
 func (x *explorer) settle(a *simAgent) {
@@ -442,7 +442,7 @@
 	}
 	var keys []KeyID
 	for _, r := range x.routers {
-		keys = append(keys, r.reg.Settle(x.now, SliceKey{Slice: exploreSlice}, v.Epoch)...)
+		keys = append(keys, r.reg.FenceAndListKeys(x.now, SliceKey{Slice: exploreSlice}, v.Epoch)...)
 		r.epoch = max(r.epoch, v.Epoch)
 		r.view = a
 	}
--- a/services/once/journal.go
+++ b/services/once/journal.go
@@ -55,7 +55,7 @@
 // resetOwnership drops all ownership, because takes may have been dropped unread.
 func (c *Core) resetOwnership() {
 	for i := range c.slices {
-		c.refuseWaiting(request.Slice(i))
+		c.refuseWaiting(request.KeySlice(i))
 		c.slices[i] = sliceState{}
 	}
 }
@@ -106,7 +106,7 @@
 }
 
 // renewEpoch moves pending and idle keys to the new epoch of a slice that this process keeps.
-func (c *Core) renewEpoch(s request.Slice, epoch Epoch) {
+func (c *Core) renewEpoch(s request.KeySlice, epoch Epoch) {
 	for _, e := range c.entries {
 		if e.slice != s || e.epoch == epoch {
 			continue
@@ -122,7 +122,7 @@
 
 // refuseWaiting refuses the waiting attempts of a slice that this process no longer owns. Running
 // requests continue.
-func (c *Core) refuseWaiting(s request.Slice) {
+func (c *Core) refuseWaiting(s request.KeySlice) {
 	for _, e := range c.entries {
 		if e.slice != s || e.state != StatePending || e.runner != 0 {
 			continue
@@ -193,7 +193,7 @@
 }
 
 // TakeRecord returns the record that makes this process the owner of slices.
-func (c *Core) TakeRecord(wanted []request.Slice) *Record {
+func (c *Core) TakeRecord(wanted []request.KeySlice) *Record {
 	rec := &Record{Version: recordVersion, Kind: RecordTake, Owner: c.self, AsOf: c.next, Window: c.window}
 	for _, s := range wanted {
 		t := Take{Slice: s}
@@ -207,7 +207,7 @@
 
 // SliceView is the state of a slice from which a shell decides about ownership.
 type SliceView struct {
-	Slice   request.Slice
+	Slice   request.KeySlice
 	Owner   Owner
 	Epoch   Epoch
 	Mine    bool
@@ -224,7 +224,7 @@
 	for i := range c.slices {
 		s := &c.slices[i]
 		out[i] = SliceView{
-			Slice: request.Slice(i), Owner: s.owner, Epoch: s.epoch, Mine: s.known && s.owner == c.self,
+			Slice: request.KeySlice(i), Owner: s.owner, Epoch: s.epoch, Mine: s.known && s.owner == c.self,
 			Settled: s.settled, Frozen: s.frozen, FrozenAt: s.frozenAt, TakenAt: s.takenAt,
 		}
 	}
@@ -233,7 +233,7 @@
 
 // Settle marks a slice as settled. keys lists all keys that its former owners may have run without
 // a journal. It returns false if this process does not own the slice in the given epoch.
-func (c *Core) Settle(now time.Time, s request.Slice, epoch Epoch, keys []KeyID) bool {
+func (c *Core) Settle(now time.Time, s request.KeySlice, epoch Epoch, keys []KeyID) bool {
 	sl := &c.slices[s]
 	if sl.owner != c.self || sl.epoch != epoch {
 		return false
@@ -258,7 +258,7 @@
 
 // Table holds the keys of a slice that an owner hands over to the next one.
 type Table struct {
-	Slice request.Slice
+	Slice request.KeySlice
 	Epoch Epoch
 	Keys  []KeyRecord
 	// Lost reports whether the asked process no longer knows the slice's owner. The slice is then
@@ -267,14 +267,14 @@
 }
 
 // ErrBusy reports a slice that still has keys pending or running.
-type ErrBusy struct{ Slice request.Slice }
+type ErrBusy struct{ Slice request.KeySlice }
 
 func (e ErrBusy) Error() string { return "slice has requests in progress" }
 
 // Handover freezes a slice and returns its table once none of its keys is in progress. If the
 // journal dropped records before this process read them, the table is marked as lost. The slice
 // stays frozen until a take of it is read.
-func (c *Core) Handover(now time.Time, s request.Slice) (Table, error) {
+func (c *Core) Handover(now time.Time, s request.KeySlice) (Table, error) {
 	sl := &c.slices[s]
 	if c.started && !sl.known {
 		// After a refusal the others would retry forever: they have read the take that was dropped
@@ -310,12 +310,12 @@
 
 // ErrUnsettled reports a slice whose table cannot be handed over yet: a router that may have sent
 // further keys has not reported them.
-type ErrUnsettled struct{ Slice request.Slice }
+type ErrUnsettled struct{ Slice request.KeySlice }
 
 func (e ErrUnsettled) Error() string { return "slice is not settled" }
 
 // ErrNotOwner reports a slice that this process cannot hand over.
-type ErrNotOwner struct{ Slice request.Slice }
+type ErrNotOwner struct{ Slice request.KeySlice }
 
 func (e ErrNotOwner) Error() string { return "slice is not owned here" }
 
@@ -329,7 +329,7 @@
 }
 
 // merge adds the table of the former owner.
-func (c *Core) merge(now time.Time, s request.Slice, epoch Epoch, t Table) {
+func (c *Core) merge(now time.Time, s request.KeySlice, epoch Epoch, t Table) {
 	for _, k := range t.Keys {
 		if k.State == StateIdle {
 			delete(c.entries, k.Key)
--- a/services/once/lost_records_test.go
+++ b/services/once/lost_records_test.go
@@ -61,8 +61,8 @@
 	log := &trimmedLog{}
 	log.read(pausedCore, now)
 	log.read(otherCore, now)
-	var all []request.Slice
-	for s := range request.Slice(Slices) {
+	var all []request.KeySlice
+	for s := range request.KeySlice(Slices) {
 		all = append(all, s)
 	}
 	log.append(t, now, pausedCore.TakeRecord(all))
@@ -111,18 +111,18 @@
 // missed records.
 func TestHandoverRefused(t *testing.T) {
 	now := time.Unix(1000, 0)
-	mine, other := request.Slice(1), request.Slice(2)
+	mine, other := request.KeySlice(1), request.KeySlice(2)
 	c := NewCore(Config{Lifetime: time.Minute, Capacity: 10, AnswerBytes: 1 << 10}, testOwner("asked"))
 	log := &trimmedLog{}
 	log.read(c, now)
 	foreign := NewCore(Config{Lifetime: time.Minute, Capacity: 10, AnswerBytes: 1 << 10}, testOwner("other"))
 	log.read(foreign, now)
-	log.append(t, now, foreign.TakeRecord([]request.Slice{mine, other}))
+	log.append(t, now, foreign.TakeRecord([]request.KeySlice{mine, other}))
 	log.read(c, now)
-	log.append(t, now, c.TakeRecord([]request.Slice{mine}))
+	log.append(t, now, c.TakeRecord([]request.KeySlice{mine}))
 	log.read(c, now)
 	cases := map[string]struct {
-		slice request.Slice
+		slice request.KeySlice
 		want  error
 	}{
 		"taken without a table": {mine, ErrUnsettled{Slice: mine}},
--- a/services/once/ownership.go
+++ b/services/once/ownership.go
@@ -28,9 +28,9 @@
 type Moves struct {
 	// Take lists slices to take: their owner is gone, they never had one, or the take must be
 	// renewed.
-	Take []request.Slice
+	Take []request.KeySlice
 	// Ask lists the slices to request from each current owner.
-	Ask map[Owner][]request.Slice
+	Ask map[Owner][]request.KeySlice
 	// Settle lists own slices that are not settled.
 	Settle []SliceView
 }
@@ -38,7 +38,7 @@
 // Decide returns the slices that an agent must take, request and settle. Each slice belongs to the
 // ready agent with the highest rendezvous score, so that agents agree without communication.
 func Decide(now time.Time, self Owner, view []SliceView, members []Member, retention time.Duration) Moves {
-	m := Moves{Ask: map[Owner][]request.Slice{}}
+	m := Moves{Ask: map[Owner][]request.KeySlice{}}
 	alive := map[Owner]bool{}
 	for _, mb := range members {
 		alive[mb.Owner] = !mb.Suspect
@@ -71,7 +71,7 @@
 }
 
 // preferredOwner returns the ready member with the highest score for a slice.
-func preferredOwner(s request.Slice, members []Member) (Owner, bool) {
+func preferredOwner(s request.KeySlice, members []Member) (Owner, bool) {
 	var best Owner
 	var high uint64
 	found := false
@@ -87,7 +87,7 @@
 	return best, found
 }
 
-func rendezvous(s request.Slice, u upstream.ID) uint64 {
+func rendezvous(s request.KeySlice, u upstream.ID) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(string(u))
 	_, _ = h.Write([]byte{0, byte(s)}) //nolint:gosec // slices are few
--- a/services/once/ownership_loop.go
+++ b/services/once/ownership_loop.go
@@ -55,8 +55,8 @@
 
 // requestTables requests the tables of slices from their owner and returns the slices that it
 // handed over.
-func (s *Service) requestTables(ctx context.Context, owner Owner, list []request.Slice) []request.Slice {
-	var got []request.Slice
+func (s *Service) requestTables(ctx context.Context, owner Owner, list []request.KeySlice) []request.KeySlice {
+	var got []request.KeySlice
 	for _, sl := range list {
 		t, err := s.peers.Handover(ctx, owner, sl)
 		if err != nil {
@@ -74,7 +74,7 @@
 	return got
 }
 
-func (s *Service) take(ctx context.Context, list []request.Slice) {
+func (s *Service) take(ctx context.Context, list []request.KeySlice) {
 	s.mu.Lock()
 	rec := s.core.TakeRecord(list)
 	s.mu.Unlock()
@@ -83,7 +83,7 @@
 }
 
 func (s *Service) settle(ctx context.Context, v SliceView) {
-	keys, complete := s.peers.Settle(ctx, v.Slice, v.Epoch)
+	keys, complete := s.peers.CollectUnjournaledKeys(ctx, v.Slice, v.Epoch)
 	if !complete {
 		s.ring.Add(clock.Now(), timeline.Event{Kind: timeline.KindOwnership, Name: "unsettled", Detail: fmt.Sprintf("slice=%d", v.Slice)})
 		return
@@ -96,7 +96,7 @@
 }
 
 // Handover hands a slice over to the agent that asks for it.
-func (s *Service) Handover(now time.Time, sl request.Slice) (Table, error) {
+func (s *Service) Handover(now time.Time, sl request.KeySlice) (Table, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t, err := s.core.Handover(now, sl)
--- a/services/once/record.go
+++ b/services/once/record.go
@@ -63,13 +63,13 @@
 // Take claims ownership of a slice whose epoch was Prev. Prev 0 means that the writer has read no
 // take of the slice since Window.
 type Take struct {
-	Slice request.Slice `json:"slice"`
+	Slice request.KeySlice `json:"slice"`
 	Prev  Epoch         `json:"prev"`
 }
 
 // Claim records that the owner of a slice may run a key.
 type Claim struct {
-	Slice request.Slice `json:"slice"`
+	Slice request.KeySlice `json:"slice"`
 	Epoch Epoch         `json:"epoch"`
 	Key   KeyID         `json:"key"`
 }
--- a/services/once/record_test.go
+++ b/services/once/record_test.go
@@ -14,7 +14,7 @@
 // FuzzDecodeRecord checks that a core does not panic on arbitrary journal records.
 func FuzzDecodeRecord(f *testing.F) {
 	c := NewCore(Config{Lifetime: time.Hour, Capacity: 10, AnswerBytes: 1000}, Owner{Upstream: "u", Incarnation: "1"})
-	raw, err := c.TakeRecord([]request.Slice{0, 31}).Encode()
+	raw, err := c.TakeRecord([]request.KeySlice{0, 31}).Encode()
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 	owner := func(cfg Config) *Core {
 		c := NewCore(cfg, self)
 		c.Apply(now, services.Page{Now: now})
-		raw, _ := c.TakeRecord([]request.Slice{0}).Encode()
+		raw, _ := c.TakeRecord([]request.KeySlice{0}).Encode()
 		c.Apply(now, services.Page{Now: now, Tail: 1, Records: []services.LogRecord{{At: now, Data: raw}}})
 		return c
 	}
--- a/services/once/register.go
+++ b/services/once/register.go
@@ -14,7 +14,7 @@
 // SliceKey names a slice of a service.
 type SliceKey struct {
 	Service service.ID
-	Slice   request.Slice
+	Slice   request.KeySlice
 }
 
 // Register holds the keys that a router sent to owners while it could not reach the log.
@@ -38,10 +38,10 @@
 	return fmt.Sprintf("owner of epoch %d was replaced, the lowest valid epoch is %d", e.Have, e.Floor)
 }
 
-// Send must be called before a request is sent to the owner of an epoch. It returns an ErrOldOwner
+// AdmitSend must be called before a request is sent to the owner of an epoch. It returns an ErrOldOwner
 // if the request must not be sent. If logOut is set, the log is unreachable and the key is
 // recorded.
-func (r *Register) Send(now time.Time, k SliceKey, epoch Epoch, key KeyID, logOut bool) error {
+func (r *Register) AdmitSend(now time.Time, k SliceKey, epoch Epoch, key KeyID, logOut bool) error {
 	if epoch < r.floor[k] {
 		return ErrOldOwner{Have: epoch, Floor: r.floor[k]}
 	}
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// Raise sets the lowest valid epoch of a slice, unless it is higher already.
-func (r *Register) Raise(k SliceKey, epoch Epoch) { r.floor[k] = max(r.floor[k], epoch) }
+// RaiseFloor sets the lowest valid epoch of a slice, unless it is higher already.
+func (r *Register) RaiseFloor(k SliceKey, epoch Epoch) { r.floor[k] = max(r.floor[k], epoch) }
 
 // Floors returns the lowest valid epochs for a router that has just started.
 func (r *Register) Floors() map[SliceKey]Epoch {
@@ -67,10 +67,10 @@
 	return out
 }
 
-// Settle returns the keys of a slice that were sent without the log. From then on, no request is
+// FenceAndListKeys returns the keys of a slice that were sent without the log. From then on, no request is
 // sent to an owner with a lower epoch.
-func (r *Register) Settle(now time.Time, k SliceKey, epoch Epoch) []KeyID {
-	r.Raise(k, epoch)
+func (r *Register) FenceAndListKeys(now time.Time, k SliceKey, epoch Epoch) []KeyID {
+	r.RaiseFloor(k, epoch)
 	var keys []KeyID
 	for id, at := range r.sent[k] {
 		if now.Sub(at) > r.lifetime {
--- a/services/once/service.go
+++ b/services/once/service.go
@@ -38,10 +38,10 @@
 // Peers sends requests to other processes.
 type Peers interface {
 	// Handover asks the owner of a slice for its table.
-	Handover(ctx context.Context, owner Owner, s request.Slice) (Table, error)
-	// Settle asks every router for the keys it sent without the log. complete is false if a router
+	Handover(ctx context.Context, owner Owner, s request.KeySlice) (Table, error)
+	// CollectUnjournaledKeys asks every router for the keys it sent without the log. complete is false if a router
 	// that may have sent some could not be asked.
-	Settle(ctx context.Context, s request.Slice, epoch Epoch) (keys []KeyID, complete bool)
+	CollectUnjournaledKeys(ctx context.Context, s request.KeySlice, epoch Epoch) (keys []KeyID, complete bool)
 }
 
 // Service runs a Core: it reads and writes the journal and moves slices.
@@ -97,7 +97,7 @@
 }
 
 // Owned returns the slices this process owns.
-func (s *Service) Owned() map[request.Slice]Epoch {
+func (s *Service) Owned() map[request.KeySlice]Epoch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Owned()
--- a/services/once/submit.go
+++ b/services/once/submit.go
@@ -14,7 +14,7 @@
 	Token   Token
 	Request request.ID
 	Key     KeyID
-	Slice   request.Slice
+	Slice   request.KeySlice
 	// Epoch is the owner's epoch that the router knew when it sent the attempt. An attempt for
 	// another epoch is refused, however late it arrives.
 	Epoch    Epoch
--- a/services/peer/gossip_test.go
+++ b/services/peer/gossip_test.go
@@ -289,8 +289,8 @@
 	}
 }
 
-// BenchmarkSpread simulates deployments up to the planned size and prints what TestGossip logs.
-func BenchmarkSpread(b *testing.B) {
+// BenchmarkGossip simulates deployments up to the planned size and prints what TestGossip logs.
+func BenchmarkGossip(b *testing.B) {
 	for _, routers := range []int{7, 41, 149, 300, 1000} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
 			for range b.N {
--- a/services/placement/planner.go
+++ b/services/placement/planner.go
@@ -87,8 +87,8 @@
 	p.last, p.lastAt = counts, now
 }
 
-// Switched records that a new map is in use; from is the map before it.
-func (p *Planner) Switched(now time.Time, from *expertmap.Map) {
+// RecordSwitch records that a new map is in use; from is the map before it.
+func (p *Planner) RecordSwitch(now time.Time, from *expertmap.Map) {
 	p.previous, p.switchedAt = from, now
 	p.floors = nil
 }
--- a/services/placement/planner_test.go
+++ b/services/placement/planner_test.go
@@ -74,7 +74,7 @@
 	if err != nil || plan.Map == nil {
 		t.Fatalf("no improvement: %+v %v", plan, err)
 	}
-	p.Switched(noon, first)
+	p.RecordSwitch(noon, first)
 	for i := range 6 {
 		p.Observe(noon.Add(time.Duration(i+1)*halfLife), add(counts(s, 1, 100), counts(s, 3, 100*(i+1))))
 	}
--- a/services/protocol.go
+++ b/services/protocol.go
@@ -30,8 +30,8 @@
 	LastEvent string
 }
 
-// Outgoing holds what a router adds to a request to an upstream.
-type Outgoing struct {
+// OutgoingMeta holds what a router adds to a request to an upstream.
+type OutgoingMeta struct {
 	Upstream upstream.ID
 	Account  account.ID
 	// Left is the time left until the caller's deadline.
@@ -53,9 +53,9 @@
 	ExecutionFailed Execution = "failed"
 	// ExecutionNone means that the request did not run: the upstream is full or leaving.
 	ExecutionNone Execution = "none"
-	// ExecutionStranger means that the request was misdirected: another upstream has the address,
+	// ExecutionMisdirected means that the request was misdirected: another upstream has the address,
 	// and the request did not run.
-	ExecutionStranger Execution = "stranger"
+	ExecutionMisdirected Execution = "stranger"
 )
 
 // UpstreamAnswer holds what a router reads from the header of an upstream's answer.
@@ -70,17 +70,17 @@
 
 // CallerProtocol translates the headers of requests and answers.
 type CallerProtocol interface {
-	// Describe reads the header of a caller's request.
-	Describe(h http.Header) CallerMeta
-	// Outgoing returns the header for an upstream.
-	Outgoing(h http.Header, o Outgoing) http.Header
-	// Answer reads the status and header of an upstream's answer.
-	Answer(status int, h http.Header) UpstreamAnswer
-	// Returned returns the header for the caller.
-	Returned(h http.Header) http.Header
-	// Refusal returns the header of an answer from the router itself. after is the time after which
+	// ParseRequest reads the header of a caller's request.
+	ParseRequest(h http.Header) CallerMeta
+	// UpstreamHeader returns the header for an upstream.
+	UpstreamHeader(h http.Header, o OutgoingMeta) http.Header
+	// ParseAnswer reads the status and header of an upstream's answer.
+	ParseAnswer(status int, h http.Header) UpstreamAnswer
+	// CallerHeader returns the header for the caller.
+	CallerHeader(h http.Header) http.Header
+	// RefusalHeader returns the header of an answer from the router itself. after is the time after which
 	// the caller may retry, or 0.
-	Refusal(id request.ID, after time.Duration) http.Header
+	RefusalHeader(id request.ID, after time.Duration) http.Header
 }
 
 // PermitGrantor grants permits to send requests to upstreams that limit the requests from all
--- a/services/rank/agent.go
+++ b/services/rank/agent.go
@@ -47,10 +47,10 @@
 type Store interface {
 	// Claim adds a record to a group's log of coordinators if the log ends at the given position.
 	// It returns where the log ends afterwards, and whether the record was added.
-	Claim(ctx context.Context, group, name string, end services.Place) (services.Place, bool, error)
-	// Claimer returns the name in the last record of a log that ends at a position; empty if the
+	Claim(ctx context.Context, group, name string, end services.Position) (services.Position, bool, error)
+	// LastClaimant returns the name in the last record of a log that ends at a position; empty if the
 	// record is no longer kept.
-	Claimer(ctx context.Context, group string, end services.Place) (string, error)
+	LastClaimant(ctx context.Context, group string, end services.Position) (string, error)
 	// PutNodes registers processes.
 	PutNodes(ctx context.Context, nodes []peer.Info) error
 	// Nodes lists the registered processes.
--- a/services/rank/claim.go
+++ b/services/rank/claim.go
@@ -58,7 +58,7 @@
 
 // claimOnce adds a claim if no other was added since the latest known one. It returns where the log
 // of claims ends afterwards.
-func (a *Agent) claimOnce(ctx context.Context, g group.ID) (won bool, end services.Place, err error) {
+func (a *Agent) claimOnce(ctx context.Context, g group.ID) (won bool, end services.Position, err error) {
 	cctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	a.mu.Lock()
@@ -76,10 +76,10 @@
 }
 
 // claimerLeads reports whether the agent whose claim is the last before a position uses it, or may.
-func (a *Agent) claimerLeads(ctx context.Context, agents []peer.Info, g group.ID, end services.Place) (bool, error) {
+func (a *Agent) claimerLeads(ctx context.Context, agents []peer.Info, g group.ID, end services.Position) (bool, error) {
 	cctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	name, err := a.opts.Store.Claimer(cctx, string(g), end)
+	name, err := a.opts.Store.LastClaimant(cctx, string(g), end)
 	if err != nil {
 		return false, err
 	}
--- a/services/rank/claim_test.go
+++ b/services/rank/claim_test.go
@@ -26,25 +26,25 @@
 	era    services.Era
 }
 
-func (s *claimStore) Claim(_ context.Context, _, _ string, end services.Place) (services.Place, bool, error) {
+func (s *claimStore) Claim(_ context.Context, _, _ string, end services.Position) (services.Position, bool, error) {
 	s.claims = append(s.claims, end.Offset)
-	return services.Place{Era: s.era, Offset: s.ends[min(len(s.claims), len(s.ends))-1]}, s.won, nil
+	return services.Position{Era: s.era, Offset: s.ends[min(len(s.claims), len(s.ends))-1]}, s.won, nil
 }
 
-func (s *claimStore) Claimer(context.Context, string, services.Place) (string, error) {
+func (s *claimStore) LastClaimant(context.Context, string, services.Position) (string, error) {
 	return "nobody", nil
 }
 func (s *claimStore) PutNodes(context.Context, []peer.Info) error { return nil }
 func (s *claimStore) Catalogs() services.Feed[catalog.Catalog]    { return noCatalogs{} }
 func (s *claimStore) Nodes() services.Feed[peer.Info]             { return s }
-func (s *claimStore) Snapshot(context.Context) ([]services.Change[peer.Info], services.Place, error) {
+func (s *claimStore) Snapshot(context.Context) ([]services.Change[peer.Info], services.Position, error) {
 	a := peer.Info{Name: "side-1", Role: vm.RoleAgent, Address: "1", Service: "m"}
 	b := peer.Info{Name: "side-2", Role: vm.RoleAgent, Address: "2", Service: "m"}
-	return []services.Change[peer.Info]{{Key: a.Name, Value: &a}, {Key: b.Name, Value: &b}}, services.Place{}, nil
+	return []services.Change[peer.Info]{{Key: a.Name, Value: &a}, {Key: b.Name, Value: &b}}, services.Position{}, nil
 }
 
-func (s *claimStore) Changes(context.Context, services.Place, time.Duration) ([]services.Change[peer.Info], services.Place, error) {
-	return nil, services.Place{}, errNoAnswer
+func (s *claimStore) Changes(context.Context, services.Position, time.Duration) ([]services.Change[peer.Info], services.Position, error) {
+	return nil, services.Position{}, errNoAnswer
 }
 
 // callFunc is a pool whose calls run a function.
--- a/services/rank/cluster_view_test.go
+++ b/services/rank/cluster_view_test.go
@@ -23,12 +23,12 @@
 
 func (n *nodeList) Nodes() services.Feed[peer.Info] { return n }
 
-func (n *nodeList) Snapshot(context.Context) ([]services.Change[peer.Info], services.Place, error) {
+func (n *nodeList) Snapshot(context.Context) ([]services.Change[peer.Info], services.Position, error) {
 	var out []services.Change[peer.Info]
 	for _, p := range n.nodes {
 		out = append(out, services.Change[peer.Info]{Key: p.Name, Value: &p})
 	}
-	return out, services.Place{Era: n.era}.After(len(out)), nil
+	return out, services.Position{Era: n.era}.After(len(out)), nil
 }
 
 // TestNodesAfterStoreRestore has the store restored without some processes: a coordinator keeps the
--- a/services/rank/driver.go
+++ b/services/rank/driver.go
@@ -24,7 +24,7 @@
 	// delta is the difference of the map that is being prepared from the one in use; nil if the
 	// full map is sent. deal describes the map in use if it is the one that engines start with.
 	delta *expertmap.Change
-	deal  *expertmap.Deal
+	deal  *expertmap.InitialMap
 }
 
 const (
@@ -104,8 +104,8 @@
 }
 
 // dealOf describes the map that engines start with, of the same size as another map.
-func dealOf(m *expertmap.Map, e *catalog.Engine) expertmap.Deal {
-	deal := expertmap.Deal{Layers: len(m.Layers)}
+func dealOf(m *expertmap.Map, e *catalog.Engine) expertmap.InitialMap {
+	deal := expertmap.InitialMap{Layers: len(m.Layers)}
 	if deal.Layers > 0 {
 		deal.Ranks = len(m.Layers[0].Slots)
 	}
--- a/services/rank/lead_test.go
+++ b/services/rank/lead_test.go
@@ -213,8 +213,8 @@
 }
 
 // end returns the end of a stream with the given number of records. The caller holds the lock.
-func (d *deployment) end(records int) services.Place {
-	return services.Place{Era: d.era}.After(records)
+func (d *deployment) end(records int) services.Position {
+	return services.Position{Era: d.era}.After(records)
 }
 
 // storedWithin returns the maximum number of store calls that a process has made within any period
@@ -403,9 +403,9 @@
 	return nil
 }
 
-func (s simStore) Claim(ctx context.Context, g, name string, end services.Place) (services.Place, bool, error) {
+func (s simStore) Claim(ctx context.Context, g, name string, end services.Position) (services.Position, bool, error) {
 	if err := s.answer(ctx); err != nil {
-		return services.Place{}, false, err
+		return services.Position{}, false, err
 	}
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
@@ -417,7 +417,7 @@
 	return s.d.end(len(claims) + 1), true, nil
 }
 
-func (s simStore) Claimer(ctx context.Context, g string, end services.Place) (string, error) {
+func (s simStore) LastClaimant(ctx context.Context, g string, end services.Position) (string, error) {
 	if err := s.answer(ctx); err != nil {
 		return "", err
 	}
@@ -448,27 +448,27 @@
 
 type simNodes struct{ s simStore }
 
-func (n simNodes) Snapshot(ctx context.Context) ([]services.Change[peer.Info], services.Place, error) {
+func (n simNodes) Snapshot(ctx context.Context) ([]services.Change[peer.Info], services.Position, error) {
 	if err := n.s.answer(ctx); err != nil {
-		return nil, services.Place{}, err
+		return nil, services.Position{}, err
 	}
 	n.s.d.mu.Lock()
 	defer n.s.d.mu.Unlock()
 	return append([]services.Change[peer.Info](nil), n.s.d.nodes...), n.s.d.end(len(n.s.d.nodes)), nil
 }
 
-func (simNodes) Changes(context.Context, services.Place, time.Duration) ([]services.Change[peer.Info], services.Place, error) {
-	return nil, services.Place{}, errNoAnswer
+func (simNodes) Changes(context.Context, services.Position, time.Duration) ([]services.Change[peer.Info], services.Position, error) {
+	return nil, services.Position{}, errNoAnswer
 }
 
 type noCatalogs struct{}
 
-func (noCatalogs) Snapshot(context.Context) ([]services.Change[catalog.Catalog], services.Place, error) {
-	return nil, services.Place{}, nil
+func (noCatalogs) Snapshot(context.Context) ([]services.Change[catalog.Catalog], services.Position, error) {
+	return nil, services.Position{}, nil
 }
 
-func (noCatalogs) Changes(context.Context, services.Place, time.Duration) ([]services.Change[catalog.Catalog], services.Place, error) {
-	return nil, services.Place{}, errNoAnswer
+func (noCatalogs) Changes(context.Context, services.Position, time.Duration) ([]services.Change[catalog.Catalog], services.Position, error) {
+	return nil, services.Position{}, errNoAnswer
 }
 
 // TestOneLeader simulates groups of all sizes on virtual time: a start, the death of the
--- a/services/rank/members_test.go
+++ b/services/rank/members_test.go
@@ -41,7 +41,7 @@
 	counts bool
 }
 
-func (f outFeed[T]) Snapshot(ctx context.Context) ([]services.Change[T], services.Place, error) {
+func (f outFeed[T]) Snapshot(ctx context.Context) ([]services.Change[T], services.Position, error) {
 	f.s.mu.Lock()
 	if f.counts {
 		f.s.reads++
@@ -50,17 +50,17 @@
 	f.s.mu.Unlock()
 	switch {
 	case reads <= f.s.failures:
-		return nil, services.Place{}, errors.New("store is busy")
+		return nil, services.Position{}, errors.New("store is busy")
 	case reads > f.s.failures+1:
 		close(f.s.silent)
 		<-ctx.Done()
-		return nil, services.Place{}, ctx.Err()
+		return nil, services.Position{}, ctx.Err()
 	}
-	return f.values, services.Place{}, nil
+	return f.values, services.Position{}, nil
 }
 
-func (f outFeed[T]) Changes(context.Context, services.Place, time.Duration) ([]services.Change[T], services.Place, error) {
-	return nil, services.Place{}, errors.New("not read by agents")
+func (f outFeed[T]) Changes(context.Context, services.Position, time.Duration) ([]services.Change[T], services.Position, error) {
+	return nil, services.Position{}, errors.New("not read by agents")
 }
 
 func (s *outStore) Nodes() services.Feed[peer.Info] {
@@ -75,11 +75,11 @@
 	return outFeed[catalog.Catalog]{s: s, values: []services.Change[catalog.Catalog]{{Value: &s.catalog}}}
 }
 
-func (s *outStore) Claim(context.Context, string, string, services.Place) (services.Place, bool, error) {
-	return services.Place{}, false, nil
+func (s *outStore) Claim(context.Context, string, string, services.Position) (services.Position, bool, error) {
+	return services.Position{}, false, nil
 }
 
-func (s *outStore) Claimer(context.Context, string, services.Place) (string, error) { return "", nil }
+func (s *outStore) LastClaimant(context.Context, string, services.Position) (string, error) { return "", nil }
 
 func (s *outStore) PutNodes(context.Context, []peer.Info) error { return nil }
 
--- a/services/rank/order.go
+++ b/services/rank/order.go
@@ -23,7 +23,7 @@
 	// Change replaces the map of an order to prepare, for an agent that has the base map. Deal
 	// describes the base map if it is the one that engines start with.
 	Change *expertmap.Change
-	Deal   *expertmap.Deal
+	Deal   *expertmap.InitialMap
 }
 
 // OrderReply is the result of an order.
@@ -153,7 +153,7 @@
 		if !ok {
 			return false
 		}
-		next, ok := base.Changed(*o.Change, o.Order.Version)
+		next, ok := base.Apply(*o.Change, o.Order.Version)
 		if !ok {
 			return false
 		}
--- a/services/rank/plan_bench_test.go
+++ b/services/rank/plan_bench_test.go
@@ -20,7 +20,7 @@
 	for _, s := range sizes {
 		e := *figures
 		e.Layers, e.Experts, e.Places, e.MaxFresh, e.LoadTime = s.layers, s.experts, s.places, 2, 76*time.Millisecond
-		first := expertmap.Deal{Layers: s.layers, Ranks: s.ranks, Experts: s.experts, Places: s.places}.Map()
+		first := expertmap.InitialMap{Layers: s.layers, Ranks: s.ranks, Experts: s.experts, Places: s.places}.Map()
 		after := func(hot int) []services.RankCounts {
 			counts := make([]services.RankCounts, s.ranks)
 			for r := range counts {
--- a/services/relay/attempt.go
+++ b/services/relay/attempt.go
@@ -187,7 +187,7 @@
 	}
 	return &httpconn.Request{
 		Method: x.req.Method, Target: x.req.RequestURI, Host: x.req.Host, Body: x.body,
-		Header: x.r.opts.Protocol.Outgoing(x.req.Header, services.Outgoing{
+		Header: x.r.opts.Protocol.UpstreamHeader(x.req.Header, services.OutgoingMeta{
 			Upstream: u.ID, Account: x.account, Left: clock.Until(x.deadline), LastEvent: last, Urgency: x.urgency,
 		}),
 	}
@@ -202,7 +202,7 @@
 			return fmt.Errorf("upstream %s: %w", a.upstream.ID, err)
 		}
 		a.resp = resp
-		a.head = x.r.opts.Protocol.Answer(resp.StatusCode, resp.Header)
+		a.head = x.r.opts.Protocol.ParseAnswer(resp.StatusCode, resp.Header)
 		if a.head.ID == x.meta.ID || (a.head.ID == "" && a.head.Execution != services.ExecutionDone) {
 			return nil
 		}
@@ -232,9 +232,9 @@
 // deliver passes an answer on, or returns false if another upstream should be tried.
 func (x *exchange) deliver(ctx context.Context, a *answer) bool {
 	switch a.head.Execution {
-	case services.ExecutionNone, services.ExecutionStranger:
+	case services.ExecutionNone, services.ExecutionMisdirected:
 		res := balance.ResultFull
-		if a.head.Execution == services.ExecutionStranger {
+		if a.head.Execution == services.ExecutionMisdirected {
 			res = balance.ResultStranger
 		}
 		x.discard(a, res, fmt.Errorf("upstream %s: status %d, not run", a.upstream.ID, a.resp.StatusCode))
@@ -321,7 +321,7 @@
 	x.r.recordRun(clock.Now(), x.key(), quarantine.Finished)
 	a.reuseConn(x.r.conns)
 	x.r.release(x.service, a.upstream, res, clock.Since(a.began), a.started)
-	return &completeAnswer{upstream: a.upstream.ID, status: a.resp.StatusCode, header: x.r.opts.Protocol.Returned(a.resp.Header), body: body}, true
+	return &completeAnswer{upstream: a.upstream.ID, status: a.resp.StatusCode, header: x.r.opts.Protocol.CallerHeader(a.resp.Header), body: body}, true
 }
 
 // write sends a complete answer to the caller.
--- a/services/relay/bench_test.go
+++ b/services/relay/bench_test.go
@@ -37,7 +37,7 @@
 		u := upstream.Instance{ID: upstream.ID(fmt.Sprint("i-", i)), Born: 1, Service: "s", Address: fmt.Sprintf("10.0.%d.1:80", i), Slots: 10, State: upstream.StateReady}
 		changes = append(changes, services.Change[upstream.Instance]{Key: string(u.ID), Value: &u})
 	}
-	r.Know(func(k *knowledge.State) {
+	r.WithState(func(k *knowledge.State) {
 		k.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(1), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
 		k.ApplyUpstreams(now, knowledge.Segment[upstream.Instance]{Whole: true, Next: place(1), AsOf: now, Changes: changes})
 	})
@@ -116,7 +116,7 @@
 	r := newRelay()
 	b.Cleanup(r.Close)
 	u := upstream.Instance{ID: "u0", Service: "s", Address: l.Addr().String(), Slots: 4, State: upstream.StateReady}
-	r.Know(func(k *knowledge.State) {
+	r.WithState(func(k *knowledge.State) {
 		k.ApplyCatalogs(time.Now(), catalogs(time.Now()))
 		k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{Whole: true, Next: place(1), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}}})
 	})
@@ -142,7 +142,7 @@
 		_ = resp.Body.Close()
 		own += (<-arrived).Sub(began)
 		n++
-		r.Know(func(k *knowledge.State) {
+		r.WithState(func(k *knowledge.State) {
 			k.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{From: place(1), Next: place(1), AsOf: time.Now()})
 		})
 	}
--- a/services/relay/crashes.go
+++ b/services/relay/crashes.go
@@ -106,7 +106,7 @@
 // recordAnswer records that a run of an upstream answers: the requests that it ran when its
 // connections broke did not end it.
 func (r *Relay) recordAnswer(now time.Time, a *answer) {
-	if a.head.Execution == services.ExecutionStranger {
+	if a.head.Execution == services.ExecutionMisdirected {
 		return
 	}
 	for _, d := range r.takeSuspects(a.upstream.Run()) {
@@ -189,7 +189,7 @@
 	r.mu.Unlock()
 	cctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
-	err := r.conns.Reach(cctx, now, u.Address)
+	err := r.conns.Preconnect(cctx, now, u.Address)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p.err, p.at = err, clock.Now()
--- a/services/relay/crashes_test.go
+++ b/services/relay/crashes_test.go
@@ -66,7 +66,7 @@
 
 // listUpstream changes the state of the first upstream that start lists.
 func listUpstream(r *Relay, address string, state upstream.State) {
-	r.Know(func(k *knowledge.State) {
+	r.WithState(func(k *knowledge.State) {
 		u := upstream.Instance{ID: "u0", Service: "s", Address: address, Slots: 4, State: state}
 		k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{
 			From: place(1), Next: place(2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
@@ -176,7 +176,7 @@
 	for _, step := range []struct {
 		head    services.Execution
 		cleared bool
-	}{{services.ExecutionStranger, false}, {services.ExecutionNone, true}} {
+	}{{services.ExecutionMisdirected, false}, {services.ExecutionNone, true}} {
 		r.recordAnswer(now, &answer{upstream: u, head: services.UpstreamAnswer{Execution: step.head}})
 		if got := crashes(r); len(got) != 1 || got[0].Cleared != step.cleared {
 			t.Errorf("after an answer %q: %+v, want cleared: %t", step.head, got, step.cleared)
--- a/services/relay/handler.go
+++ b/services/relay/handler.go
@@ -119,7 +119,7 @@
 
 // ServeHTTP serves one request of a caller.
 func (r *Relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	x := &exchange{r: r, w: w, req: req, arrived: clock.Now(), meta: r.opts.Protocol.Describe(req.Header), tried: map[upstream.ID]bool{}}
+	x := &exchange{r: r, w: w, req: req, arrived: clock.Now(), meta: r.opts.Protocol.ParseRequest(req.Header), tried: map[upstream.ID]bool{}}
 	r.mu.Lock()
 	r.active++
 	leaving := r.leaving
@@ -188,7 +188,7 @@
 	if x.route == nil {
 		return x.deny(http.StatusNotFound, ReasonNoRoute)
 	}
-	if index.Closed() && !x.route.Anonymous {
+	if index.RequiresKeys() && !x.route.Anonymous {
 		a := index.Account(x.meta.Key)
 		if a == nil {
 			return x.deny(http.StatusUnauthorized, ReasonUnknownKey)
@@ -252,7 +252,7 @@
 func (x *exchange) refuse(ref refusal) {
 	x.advised = ref.retryAfter
 	h := x.w.Header()
-	for name, values := range x.r.opts.Protocol.Refusal(x.meta.ID, ref.retryAfter) {
+	for name, values := range x.r.opts.Protocol.RefusalHeader(x.meta.ID, ref.retryAfter) {
 		h[name] = values
 	}
 	h.Set("Content-Length", "0")
--- a/services/relay/notices.go
+++ b/services/relay/notices.go
@@ -13,7 +13,7 @@
 
 // recordNotice records the notice that an upstream has sent with an answer.
 func (x *exchange) recordNotice(now time.Time, a *answer) {
-	if a.head.Execution == services.ExecutionStranger {
+	if a.head.Execution == services.ExecutionMisdirected {
 		return // the notice is from another upstream than the one addressed
 	}
 	x.r.mu.Lock()
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -93,8 +93,8 @@
 	return r
 }
 
-// Know calls f with the router's state under the relay's lock.
-func (r *Relay) Know(f func(s *knowledge.State)) {
+// WithState calls f with the router's state under the relay's lock.
+func (r *Relay) WithState(f func(s *knowledge.State)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.state)
@@ -114,8 +114,8 @@
 	r.routers = n
 }
 
-// Rebound applies new bounds.
-func (r *Relay) Rebound(now time.Time, b setting.Bounds) {
+// SetBounds applies new bounds.
+func (r *Relay) SetBounds(now time.Time, b setting.Bounds) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.opts.Bounds = b
@@ -288,7 +288,7 @@
 	svc.pool.Done(now, u.Run(), res, took, started)
 	r.wake(now, svc)
 	if res == balance.ResultUnreached || res == balance.ResultStranger {
-		r.conns.Drop(u.Address)
+		r.conns.CloseIdle(u.Address)
 	}
 }
 
@@ -298,7 +298,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if previous, known := r.runs[u.Address]; known && previous != u.Run() {
-		r.conns.Drop(u.Address)
+		r.conns.CloseIdle(u.Address)
 	}
 	r.runs[u.Address] = u.Run()
 }
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -34,17 +34,17 @@
 )
 
 // place returns a position in a store that has never been restored from a copy.
-func place(o services.Offset) services.Place { return services.Place{Offset: o} }
+func place(o services.Offset) services.Position { return services.Position{Offset: o} }
 
 // protocol is a minimal caller protocol for the tests.
 type protocol struct{}
 
-func (protocol) Describe(h http.Header) services.CallerMeta {
+func (protocol) ParseRequest(h http.Header) services.CallerMeta {
 	ms, _ := strconv.Atoi(h.Get("Patience"))
 	return services.CallerMeta{ID: request.ID(h.Get("Id")), Key: catalog.Key(h.Get("Key")), Patience: time.Duration(ms) * time.Millisecond, LastEvent: h.Get("Last")}
 }
 
-func (protocol) Outgoing(h http.Header, o services.Outgoing) http.Header {
+func (protocol) UpstreamHeader(h http.Header, o services.OutgoingMeta) http.Header {
 	out := http.Header{"Id": h["Id"], "To": {string(o.Upstream)}, "Account": {string(o.Account)}}
 	if o.LastEvent != "" {
 		out.Set("Last", o.LastEvent)
@@ -52,7 +52,7 @@
 	return out
 }
 
-func (protocol) Answer(status int, h http.Header) services.UpstreamAnswer {
+func (protocol) ParseAnswer(status int, h http.Header) services.UpstreamAnswer {
 	a := services.UpstreamAnswer{ID: request.ID(h.Get("Id")), Execution: services.ExecutionDone}
 	switch {
 	case h.Get("Not-Run") != "":
@@ -63,9 +63,9 @@
 	return a
 }
 
-func (protocol) Returned(h http.Header) http.Header { return h.Clone() }
+func (protocol) CallerHeader(h http.Header) http.Header { return h.Clone() }
 
-func (protocol) Refusal(_ request.ID, after time.Duration) http.Header {
+func (protocol) RefusalHeader(_ request.ID, after time.Duration) http.Header {
 	if after == 0 {
 		return http.Header{}
 	}
@@ -149,7 +149,7 @@
 	t.Helper()
 	r := newRelay()
 	now := time.Now()
-	r.Know(func(s *knowledge.State) {
+	r.WithState(func(s *knowledge.State) {
 		s.ApplyCatalogs(time.Now(), catalogs(now))
 		var list []services.Change[upstream.Instance]
 		for i, f := range fakes {
@@ -328,8 +328,8 @@
 			s, r := start(t, f)
 			bounds := r.opts.Bounds
 			bounds.KeepKeys = c.keep
-			r.Rebound(time.Now(), bounds)
-			r.Know(func(k *knowledge.State) {
+			r.SetBounds(time.Now(), bounds)
+			r.WithState(func(k *knowledge.State) {
 				*k = *knowledge.New(2 * time.Second)
 				k.ApplyCatalogs(time.Now(), catalogs(time.Now().Add(-c.age)))
 				u := upstream.Instance{ID: "u0", Service: "s", Address: f.address, Slots: 4, State: upstream.StateReady}
@@ -350,9 +350,9 @@
 func TestNoRequestOnConnectionToEarlierRun(t *testing.T) {
 	f := newFake(t, func(_ int, h map[string]string, conn net.Conn) { writeAnswer(conn, h["Id"], "ok") })
 	s, r := start(t, f)
-	r.Know(func(k *knowledge.State) { k.ApplyCatalogs(time.Now(), catalogs(time.Now())) })
+	r.WithState(func(k *knowledge.State) { k.ApplyCatalogs(time.Now(), catalogs(time.Now())) })
 	for i, born := range []upstream.Born{0, 0, 200} {
-		r.Know(func(k *knowledge.State) {
+		r.WithState(func(k *knowledge.State) {
 			u := upstream.Instance{ID: "u0", Born: born, Service: "s", Address: f.address, Slots: 4, State: upstream.StateReady}
 			k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{
 				Whole: true, Next: place(services.Offset(i) + 2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
@@ -397,7 +397,7 @@
 func TestLeavingUpstream(t *testing.T) {
 	f := newFake(t, func(_ int, h map[string]string, c net.Conn) { writeAnswer(c, h["Id"], "ok") })
 	s, r := start(t, f)
-	r.Know(func(k *knowledge.State) {
+	r.WithState(func(k *knowledge.State) {
 		u := upstream.Instance{ID: "u0", Service: "s", Address: f.address, Slots: 4, State: upstream.StateLeaving}
 		k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{
 			From: place(1), Next: place(2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
@@ -449,7 +449,7 @@
 	c := testCatalog
 	c.Version, c.Services = 4, []catalog.Service{{ID: "s", Engine: &catalog.Engine{Slots: 4}}}
 	var addresses []string
-	r.Know(func(s *knowledge.State) {
+	r.WithState(func(s *knowledge.State) {
 		s.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(2), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
 		for _, u := range s.Usable(now, "s") {
 			addresses = append(addresses, u.Address)
--- a/services/relay/stream.go
+++ b/services/relay/stream.go
@@ -108,7 +108,7 @@
 		}
 		if !x.stream.begun {
 			x.stream.begun = true
-			x.setHead(x.r.opts.Protocol.Returned(a.resp.Header))
+			x.setHead(x.r.opts.Protocol.CallerHeader(a.resp.Header))
 			x.w.WriteHeader(a.resp.StatusCode)
 		}
 		if _, err := x.w.Write(event); err != nil {
--- a/services/relay/suspend_test.go
+++ b/services/relay/suspend_test.go
@@ -40,7 +40,7 @@
 			vm := clocktest.New(t)
 			f := newFake(t, func(_ int, h map[string]string, conn net.Conn) { writeAnswer(conn, h["Id"], "ok") })
 			s, r := start(t, f)
-			r.Know(func(k *knowledge.State) {
+			r.WithState(func(k *knowledge.State) {
 				*k = *knowledge.New(time.Minute)
 				k.ApplyCatalogs(time.Now(), catalogs(clock.Now().Add(-time.Second)))
 				u := upstream.Instance{ID: "u0", Service: "s", Address: f.address, Slots: 4, State: upstream.StateReady}
@@ -53,7 +53,7 @@
 			}
 			vm.Suspend(c.suspended)
 			if c.confirmed {
-				r.Know(func(k *knowledge.State) { k.ApplyCatalogs(time.Now(), catalogs(clock.Now())) })
+				r.WithState(func(k *knowledge.State) { k.ApplyCatalogs(time.Now(), catalogs(clock.Now())) })
 			}
 			if status, _, _, _ := get(t.Context(), t, s, "/unsafe/x", nil); status != c.status {
 				t.Errorf("status %d, want %d", status, c.status)
--- a/services/routing/bench_test.go
+++ b/services/routing/bench_test.go
@@ -272,7 +272,7 @@
 
 func (s *stepAware) sent(now time.Time, r int) {
 	s.t.Sent(now, id(r))
-	s.t.Streaming(now, id(r))
+	s.t.StreamStarted(now, id(r))
 }
 
 func (s *stepAware) done(now time.Time, r int) {
--- a/services/routing/pick_test.go
+++ b/services/routing/pick_test.go
@@ -65,7 +65,7 @@
 		}, 3 * time.Second},
 		"a group whose streams have stopped": {func(tr *Tracker) {
 			tr.Sent(epoch, id(1))
-			tr.Streaming(epoch, id(1))
+			tr.StreamStarted(epoch, id(1))
 		}, 300 * time.Millisecond},
 	}
 	for name, tc := range cases {
--- a/services/routing/tracker.go
+++ b/services/routing/tracker.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// Streaming records that a streamed request of this router was sent.
-func (t *Tracker) Streaming(now time.Time, id upstream.ID) {
+// StreamStarted records that a streamed request of this router was sent.
+func (t *Tracker) StreamStarted(now time.Time, id upstream.ID) {
 	tr := t.track(id)
 	if tr.streams == 0 {
 		tr.progress = now
--- a/services/services.go
+++ b/services/services.go
@@ -55,58 +55,58 @@
 	Key   string
 	Value *T
 	// At is the position of the change in its stream.
-	At Place
+	At Position
 }
 
 // Era counts how often the platform's store has been restored from a backup. A restore loses the
 // records written after the backup, and their offsets are assigned again.
 type Era uint64
 
-// Place is a position in a stream of the platform's store. Offsets of different eras are unrelated.
-type Place struct {
+// Position is a position in a stream of the platform's store. Offsets of different eras are unrelated.
+type Position struct {
 	Era    Era
 	Offset Offset
 }
 
 // Compare returns -1, 0 or 1 if p is before o, equal to it or after it. All positions of an era are
 // before those of the next.
-func (p Place) Compare(o Place) int {
+func (p Position) Compare(o Position) int {
 	return cmp.Or(cmp.Compare(p.Era, o.Era), cmp.Compare(p.Offset, o.Offset))
 }
 
 // Before reports whether p is before o.
-func (p Place) Before(o Place) bool { return p.Compare(o) < 0 }
+func (p Position) Before(o Position) bool { return p.Compare(o) < 0 }
 
 // After returns the position the given number of records after p.
-func (p Place) After(records int) Place {
-	return Place{Era: p.Era, Offset: p.Offset + Offset(records)} //nolint:gosec // a number of records is not negative
+func (p Position) After(records int) Position {
+	return Position{Era: p.Era, Offset: p.Offset + Offset(records)} //nolint:gosec // a number of records is not negative
 }
 
-func (p Place) String() string { return fmt.Sprintf("%d/%d", p.Era, p.Offset) }
+func (p Position) String() string { return fmt.Sprintf("%d/%d", p.Era, p.Offset) }
 
 // Feed is a stream of the platform's store that keeps the newest value of each key.
 type Feed[T any] interface {
 	// Snapshot returns the newest values and the position from which Changes continues.
-	Snapshot(ctx context.Context) ([]Change[T], Place, error)
+	Snapshot(ctx context.Context) ([]Change[T], Position, error)
 	// Changes returns the changes from a position on, and the next position. If there are none yet,
 	// it waits up to wait. It returns an ErrTrimmed if some of the changes are no longer kept, and
 	// an ErrReturned if the position is not from the store's current era.
-	Changes(ctx context.Context, from Place, wait time.Duration) ([]Change[T], Place, error)
+	Changes(ctx context.Context, from Position, wait time.Duration) ([]Change[T], Position, error)
 }
 
 // ErrTrimmed reports that the log no longer keeps the requested records.
-type ErrTrimmed struct{ From Place }
+type ErrTrimmed struct{ From Position }
 
 func (e ErrTrimmed) Error() string { return fmt.Sprintf("position %s has been trimmed", e.From) }
 
-// ErrReturned reports that a position is from another era: the store has been restored from a
+// ErrEraChanged reports that a position is from another era: the store has been restored from a
 // backup in between.
-type ErrReturned struct {
-	From Place
+type ErrEraChanged struct {
+	From Position
 	Era  Era
 }
 
-func (e ErrReturned) Error() string {
+func (e ErrEraChanged) Error() string {
 	return fmt.Sprintf("position %s is not from the store's era %d", e.From, e.Era)
 }
 
--- a/services/share/gate.go
+++ b/services/share/gate.go
@@ -46,9 +46,9 @@
 	return g.queue.Accounts()
 }
 
-// Enter waits until the request may run, and returns the function to call when it has ended.
+// Acquire waits until the request may run, and returns the function to call when it has ended.
 // A refusal is final: the request has not run. It returns ctx's error if that ends first.
-func (g *Gate) Enter(ctx context.Context, it Item) (func(), *Refusal, error) {
+func (g *Gate) Acquire(ctx context.Context, it Item) (func(), *Refusal, error) {
 	ch := make(chan *Refusal, 1)
 	g.mu.Lock()
 	g.last++
--- a/tests/integration/answers_test.go
+++ b/tests/integration/answers_test.go
@@ -21,9 +21,9 @@
 	"github.com/Shopify/toxiproxy/v2"
 )
 
-// TestWholeAnswers makes one of two upstreams return faulty answers. Callers must get complete
+// TestCompleteAnswers makes one of two upstreams return faulty answers. Callers must get complete
 // answers to their own requests from the other one, or the outcome unknown.
-func TestWholeAnswers(t *testing.T) {
+func TestCompleteAnswers(t *testing.T) {
 	faults := map[string]upstreamstandin.PlainFault{
 		"truncated":         {Truncate: true},
 		"another request's": {ForeignID: true},
@@ -121,11 +121,11 @@
 	}
 }
 
-// TestCutTwice makes each upstream close the connection while it runs a request, which may then be
+// TestSentToTwoUpstreamsAtMost makes each upstream close the connection while it runs a request, which may then be
 // sent to two upstreams at most. Without this limit it was sent to four upstreams in turn: a
 // request that crashes the upstreams that run it would have taken a service down with one attempt
 // of its caller.
-func TestCutTwice(t *testing.T) {
+func TestSentToTwoUpstreamsAtMost(t *testing.T) {
 	c := newCluster(t, options{routers: 1, plains: 4})
 	for _, address := range c.plain {
 		c.put(address+"/control/fault", upstreamstandin.PlainFault{LoseAnswers: true})
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestCallerGone checks that a caller that disconnects frees its slot at the engine.
-func TestCallerGone(t *testing.T) {
+// TestCallerDisconnects checks that a caller that disconnects frees its slot at the engine.
+func TestCallerDisconnects(t *testing.T) {
 	c := newCluster(t, options{routers: 1, groups: 1, ranks: 2})
 	running := func() int {
 		n := 0
--- a/tests/integration/config_test.go
+++ b/tests/integration/config_test.go
@@ -40,7 +40,7 @@
 	for r := range c.routers {
 		c.await(fmt.Sprintf("revision %d everywhere as router %d reports it", rev, r), propagationTimeout, func() bool {
 			s, err := c.status(r)
-			return err == nil && s.Everywhere(rev) && len(s.Processes) == len(c.vms)
+			return err == nil && s.HasRevision(rev) && len(s.Processes) == len(c.vms)
 		})
 	}
 	return time.Since(began)
--- a/tests/integration/once_test.go
+++ b/tests/integration/once_test.go
@@ -290,10 +290,10 @@
 	}
 }
 
-// TestNaiveRetryDoubles compares a route that the intent lists as non-repeatable with one that it
+// TestUnlistedRouteRetried compares a route that the intent lists as non-repeatable with one that it
 // does not list. A lost answer on the unlisted route doubles the effect, because the router retries
 // the request.
-func TestNaiveRetryDoubles(t *testing.T) {
+func TestUnlistedRouteRetried(t *testing.T) {
 	c := newCluster(t, options{routers: 1, plains: 2})
 	for _, address := range c.plain {
 		c.put(address+"/control/fault", upstreamstandin.PlainFault{LoseAnswers: true})
--- a/tests/integration/outage_test.go
+++ b/tests/integration/outage_test.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestOutageRefuses checks that an owner that may not run without its journal refuses holds at
+// TestOutageRefusesHolds checks that an owner that may not run without its journal refuses holds at
 // once.
-func TestOutageRefuses(t *testing.T) {
+func TestOutageRefusesHolds(t *testing.T) {
 	c := newCluster(t, options{routers: 1, plains: 1, agent: func(s *setting.Agent) { s.Once.OutageAfter = 0 }})
 	c.fault(platformstandin.Fault{Down: true})
 	var got callResult
--- a/tests/integration/path_test.go
+++ b/tests/integration/path_test.go
@@ -13,8 +13,8 @@
 	"fawnwinch.org/fawnwinch/models/request"
 )
 
-// TestPath serves model and plain requests end to end with real processes.
-func TestPath(t *testing.T) {
+// TestEndToEnd serves model and plain requests end to end with real processes.
+func TestEndToEnd(t *testing.T) {
 	c := newCluster(t, options{routers: 2, groups: 1, ranks: 3, plains: 2})
 	for r := range c.routers {
 		for _, stream := range []bool{false, true} {
--- a/tests/integration/platform_feeds_test.go
+++ b/tests/integration/platform_feeds_test.go
@@ -49,9 +49,9 @@
 	return routers
 }
 
-// TestReaderLost freezes or kills the router that reads the configuration for all. The others must
+// TestReaderFails freezes or kills the router that reads the configuration for all. The others must
 // still have a change in force.
-func TestReaderLost(t *testing.T) {
+func TestReaderFails(t *testing.T) {
 	cases := map[string]struct {
 		fail, resume func(n *node)
 	}{
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestReadersOut makes the store unavailable for a while. Routers must accept only keys that they
+// TestStoreOutage makes the store unavailable for a while. Routers must accept only keys that they
 // can verify as current, and must have a change in force soon after the outage.
-func TestReadersOut(t *testing.T) {
+func TestStoreOutage(t *testing.T) {
 	s, routers := threeRouters(t)
 	s.store.Trouble(metastore.TroubleBusy)
 	for name, n := range routers {
--- a/tests/integration/platform_notice_test.go
+++ b/tests/integration/platform_notice_test.go
@@ -266,11 +266,11 @@
 	return peak
 }
 
-// TestRestingReplica lets replicas refuse requests and ask for back-off. It guards against routers
+// TestReplicaBackOff lets replicas refuse requests and ask for back-off. It guards against routers
 // that do not read how long: four ranks of twelve that backed off for nine seconds at a time looked
 // idle and got three times as many requests as the others, up to 11 from one router in 3 s of
 // back-off.
-func TestRestingReplica(t *testing.T) {
+func TestReplicaBackOff(t *testing.T) {
 	const duration = 8 * time.Second
 	cases := map[string]struct {
 		backingOff int
--- a/tests/integration/platform_return_test.go
+++ b/tests/integration/platform_return_test.go
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestConfigurationAfterReturn restores the store without the latest configurations. The accepted
+// TestConfigurationAfterRestore restores the store without the latest configurations. The accepted
 // one must stay in force, and those written next must come into force at all routers.
-func TestConfigurationAfterReturn(t *testing.T) {
+func TestConfigurationAfterRestore(t *testing.T) {
 	for name, restore := range restores {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestOldConfigurationsAfterReturn lets the operator write the lost configurations again, one after
+// TestOldConfigurationsAfterRestore lets the operator write the lost configurations again, one after
 // the other.
-func TestOldConfigurationsAfterReturn(t *testing.T) {
+func TestOldConfigurationsAfterRestore(t *testing.T) {
 	t.Parallel()
 	s, routers := threeRouters(t)
 	c := s.copyThenChange(routers)
@@ -137,9 +137,9 @@
 	s.putConfig(routers, 8, "k8", "new")
 }
 
-// TestStartAfterReturn starts routers after a restore of the store without the latest
+// TestStartAfterRestore starts routers after a restore of the store without the latest
 // configuration.
-func TestStartAfterReturn(t *testing.T) {
+func TestStartAfterRestore(t *testing.T) {
 	t.Run("beside others", func(t *testing.T) {
 		t.Parallel()
 		s, routers := threeRouters(t)
@@ -213,9 +213,9 @@
 // milliseconds.
 const rewriteWindowMs = 2000
 
-// TestReplicasAfterReturn restores the store without the latest entries of replicas. Routers must
+// TestReplicasAfterRestore restores the store without the latest entries of replicas. Routers must
 // send no work to a replica that has left.
-func TestReplicasAfterReturn(t *testing.T) {
+func TestReplicasAfterRestore(t *testing.T) {
 	t.Parallel()
 	s, routers := threeRouters(t)
 	two, three := newReplica(t, "i-2", nil), newReplica(t, "i-3", nil)
@@ -263,9 +263,9 @@
 // to be there again after a restore.
 const recoveryTimeout = 5 * time.Second
 
-// TestRegisteredAfterReturn restores the store without the registrations of the processes, which
+// TestRegistrationAfterRestore restores the store without the registrations of the processes, which
 // must be written again.
-func TestRegisteredAfterReturn(t *testing.T) {
+func TestRegistrationAfterRestore(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	c := s.store.Copy()
@@ -294,10 +294,10 @@
 	}
 }
 
-// TestRanksAfterReturn restores the store with fewer claims to coordinate a group, or without its
+// TestRanksAfterRestore restores the store with fewer claims to coordinate a group, or without its
 // agents, and kills the coordinator. Another agent must lead, maps must follow popularity, and no
 // pass may begin with two of them.
-func TestRanksAfterReturn(t *testing.T) {
+func TestRanksAfterRestore(t *testing.T) {
 	// changeCoordinator kills the coordinator and waits for another one.
 	changeCoordinator := func(r *ranks) {
 		p := r.coordinator()
@@ -339,9 +339,9 @@
 	}
 }
 
-// TestStatusAfterReturn checks that operators see a restore of the store at each router: in its log
+// TestStatusAfterRestore checks that operators see a restore of the store at each router: in its log
 // and in its status.
-func TestStatusAfterReturn(t *testing.T) {
+func TestStatusAfterRestore(t *testing.T) {
 	t.Parallel()
 	s, routers := threeRouters(t)
 	c := s.copyThenChange(routers)
--- a/tests/integration/platform_test.go
+++ b/tests/integration/platform_test.go
@@ -209,10 +209,10 @@
 	return body
 }
 
-// TestPlatformPath runs real routers through a start without a configuration, a first
+// TestPlatformEndToEnd runs real routers through a start without a configuration, a first
 // configuration, removed keys, an upstream that leaves, trimmed records, a change of settings, and
 // an outage of the store in which a router starts.
-func TestPlatformPath(t *testing.T) {
+func TestPlatformEndToEnd(t *testing.T) {
 	s := newSite(t)
 	a := s.router("a")
 	eventually(t, "an answer", func() bool { status, _, _ := post(t.Context(), t, a.front, "/peek/x", "k"); return status != 0 })
