--- a/cmd/platform.go
+++ b/cmd/platform.go
@@ -147,7 +147,7 @@
 // serveMetrics registers the metrics of the store and the connections, and serves all metrics on a
 // port of the VM unless the port is 0.
 func (n node) serveMetrics(lc fx.Lifecycle, m *metrics.Metrics, store *platform.Store, pool *rpc.Pool) error {
-	m.Each("store_calls_total", "Calls of the platform's store, by what they are for.", "call", true, func() []metrics.Sample {
+	m.LabelledValues("store_calls_total", "Calls of the platform's store, by what they are for.", "call", true, func() []metrics.Sample {
 		var out []metrics.Sample
 		for call, n := range store.Calls() {
 			out = append(out, metrics.Sample{Label: call, Value: float64(n)})
@@ -246,7 +246,7 @@
 // registerLeadershipMetrics registers the metrics for whether the group of an agent's rank has a
 // coordinator, according to the agent.
 func registerLeadershipMetrics(m *metrics.Metrics, a *rank.Agent) {
-	m.Each("group_led", "1 if the agent hears a coordinator of its rank's group, else 0; the group is empty while the engine has not told it.", "group", false, func() []metrics.Sample {
+	m.LabelledValues("group_led", "1 if the agent hears a coordinator of its rank's group, else 0; the group is empty while the engine has not told it.", "group", false, func() []metrics.Sample {
 		l := a.Leadership(clock.Now())
 		led := 0.0
 		if l.Led {
@@ -254,7 +254,7 @@
 		}
 		return []metrics.Sample{{Label: string(l.Group), Value: led}}
 	})
-	m.Each("group_silence_seconds", "Time since the agent heard a coordinator of its rank's group, or learned the group if it never did.", "group", false, func() []metrics.Sample {
+	m.LabelledValues("group_silence_seconds", "Time since the agent heard a coordinator of its rank's group, or learned the group if it never did.", "group", false, func() []metrics.Sample {
 		l := a.Leadership(clock.Now())
 		return []metrics.Sample{{Label: string(l.Group), Value: l.Silence.Seconds()}}
 	})
--- a/cmd/platform_router.go
+++ b/cmd/platform_router.go
@@ -120,7 +120,7 @@
 // registerCoverageMetrics registers the metrics for the numbers of listed and unreported ranks.
 func registerCoverageMetrics(m *metrics.Metrics, r *relay.Relay) {
 	each := func(name, help string, count func(relay.Coverage) int) {
-		m.Each(name, help, "service", false, func() []metrics.Sample {
+		m.LabelledValues(name, help, "service", false, func() []metrics.Sample {
 			var out []metrics.Sample
 			for _, c := range r.Coverage(clock.Now()) {
 				out = append(out, metrics.Sample{Label: string(c.Service), Value: float64(count(c))})
@@ -138,7 +138,7 @@
 func (p *entryProcess) stop(ctx context.Context) error {
 	start := clock.Now()
 	p.logger.Info().Int("active", p.relay.Active()).Msg("stop")
-	p.relay.Leave(start)
+	p.relay.StartLeaving(start)
 	p.router.Leave(ctx)
 	deadline := start.Add(p.node.set.Grace - killMargin)
 	for now := start; now.Before(deadline) && (now.Sub(start) < addressCacheTime || p.relay.Active() > 0); now = clock.Now() {
--- a/cmd/platform_status_test.go
+++ b/cmd/platform_status_test.go
@@ -53,7 +53,9 @@
 
 // TestPrintStore checks the lines with routers' state of the store.
 func TestPrintStore(t *testing.T) {
-	at := func(era services.Era, o services.Offset) services.Position { return services.Position{Era: era, Offset: o} }
+	at := func(era services.Era, o services.Offset) services.Position {
+		return services.Position{Era: era, Offset: o}
+	}
 	all := []entry.GroupsStatus{
 		{Router: "a", Store: entry.StoreStatus{Era: 1, Since: 90 * time.Second, Catalogs: at(1, 15), Upstreams: at(1, 27), Version: 48, Proven: true, ProvenAge: 70 * time.Millisecond}},
 		{Router: "b", Store: entry.StoreStatus{Era: 2, Since: time.Second, Unsettled: true, Catalogs: at(2, 11), Upstreams: at(1, 27), Version: 48}},
--- a/cmd/reload_test.go
+++ b/cmd/reload_test.go
@@ -25,8 +25,8 @@
 	Front: "127.0.0.1:7004", Store: "127.0.0.1:7005",
 }.Text()
 
-// TestSIGHUPBeforeWatch checks that a SIGHUP which arrives before the process watches for it does not
-// terminate the process, and reloads the settings once it watches.
+// TestSIGHUPBeforeWatch checks that a SIGHUP which arrives before the process watches for it does
+// not terminate the process, and reloads the settings once it watches.
 func TestSIGHUPBeforeWatch(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	if err := os.WriteFile(path, []byte(nodeSettings), 0o600); err != nil {
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestReloadOnSIGHUP checks that SIGHUP reloads the settings without terminating the process, and that
-// invalid settings change nothing.
+// TestReloadOnSIGHUP checks that SIGHUP reloads the settings without terminating the process, and
+// that invalid settings change nothing.
 func TestReloadOnSIGHUP(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	write := func(text string) {
--- a/models/catalog/change_test.go
+++ b/models/catalog/change_test.go
@@ -67,7 +67,8 @@
 	return reflect.DeepEqual(sorted(a), sorted(b))
 }
 
-// TestChangeDuplicateNames checks that there is no change from or to a catalog with a duplicate name.
+// TestChangeDuplicateNames checks that there is no change from or to a catalog with a duplicate
+// name.
 func TestChangeDuplicateNames(t *testing.T) {
 	duplicate := &Catalog{Version: 2, Routes: []Route{{Name: "r", Host: "a"}, {Name: "r", Host: "b"}}}
 	if _, ok := duplicate.ChangeFrom(&Catalog{Version: 1}); ok {
--- a/models/expertmap/change.go
+++ b/models/expertmap/change.go
@@ -17,8 +17,8 @@
 	Digest string
 }
 
-// InitialMap describes the initial map of engines: the experts of each layer are distributed round-robin
-// to the ranks.
+// InitialMap describes the initial map of engines: the experts of each layer are distributed
+// round-robin to the ranks.
 type InitialMap struct{ Ranks, Layers, Experts, Places int }
 
 // Map returns the map that d describes, with version 0.
--- a/modules/clock/system_test.go
+++ b/modules/clock/system_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestNowDetectsSuspension checks that the first call of Now after a suspension detects it, because the wall
-// clock has moved.
+// TestNowDetectsSuspension checks that the first call of Now after a suspension detects it, because
+// the wall clock has moved.
 func TestNowDetectsSuspension(t *testing.T) {
 	cases := map[string]struct {
 		wallElapsed, bootElapsed, want time.Duration
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestSystemOnThisMachine checks that the clock of the machine that runs the test agrees with its monotonic
-// clock, and that its boot clock can be read.
+// TestSystemOnThisMachine checks that the clock of the machine that runs the test agrees with its
+// monotonic clock, and that its boot clock can be read.
 func TestSystemOnThisMachine(t *testing.T) {
 	s := NewSystem()
 	if s.noBootClock {
--- a/modules/httpconn/conn.go
+++ b/modules/httpconn/conn.go
@@ -20,7 +20,8 @@
 )
 
 const (
-	// dialTimeout bounds a connection attempt to an upstream. Data centres are a few milliseconds apart.
+	// dialTimeout bounds a connection attempt to an upstream. Data centres are a few milliseconds
+	// apart.
 	dialTimeout = 400 * time.Millisecond
 	// unackedTimeout is how long sent bytes may remain unacknowledged before the connection is
 	// aborted: a VM that lost power sends nothing, not even a reset.
--- a/modules/httpconn/httpconn_test.go
+++ b/modules/httpconn/httpconn_test.go
@@ -35,7 +35,7 @@
 		t.Fatalf("body %q, %v", body, err)
 	}
 	if idleTime, ok := httpconn.Reusable(resp); ok {
-		p.Give(time.Now(), c, idleTime)
+		p.Put(time.Now(), c, idleTime)
 	}
 	return reused
 }
@@ -91,7 +91,7 @@
 					conn.Close()
 					return
 				}
-				p.Give(time.Now(), conn, time.Minute)
+				p.Put(time.Now(), conn, time.Minute)
 			}
 			t.Error("the connection was used again")
 		})
@@ -118,7 +118,7 @@
 	if err := httpconn.Drain(resp, 10); err != nil {
 		t.Fatal(err)
 	}
-	p.Give(time.Now(), c, time.Minute)
+	p.Put(time.Now(), c, time.Minute)
 	if other, reused, err := p.Take(t.Context(), time.Now(), address); err != nil || reused {
 		t.Errorf("reused %t, %v", reused, err)
 	} else {
--- a/modules/httpconn/pool.go
+++ b/modules/httpconn/pool.go
@@ -57,9 +57,9 @@
 	return c
 }
 
-// Give returns a connection that may stay idle for a time to the pool. A connection that is still
+// Put returns a connection that may stay idle for a time to the pool. A connection that is still
 // sending is closed.
-func (p *Pool) Give(now time.Time, c *Conn, idleTime time.Duration) {
+func (p *Pool) Put(now time.Time, c *Conn, idleTime time.Duration) {
 	if !c.sentCompletely() || c.reader.Buffered() > 0 {
 		c.Close()
 		return
--- a/modules/metrics/metrics.go
+++ b/modules/metrics/metrics.go
@@ -47,8 +47,8 @@
 	return m
 }
 
-// Request records the end of a request.
-func (m *Metrics) Request(service, outcome, reason string, took time.Duration, attempts int) {
+// ObserveRequest records the end of a request.
+func (m *Metrics) ObserveRequest(service, outcome, reason string, took time.Duration, attempts int) {
 	m.requests.WithLabelValues(service, outcome, reason).Inc()
 	m.durations.WithLabelValues(service).Observe(took.Seconds())
 	m.attempts.WithLabelValues(service).Add(float64(attempts))
@@ -70,9 +70,9 @@
 	Value float64
 }
 
-// Each registers a metric whose labelled values are read at each scrape. It is a counter if rising
-// is set, and a gauge otherwise.
-func (m *Metrics) Each(name, help, label string, rising bool, read func() []Sample) {
+// LabelledValues registers a metric whose labelled values are read at each scrape. It is a counter
+// if rising is set, and a gauge otherwise.
+func (m *Metrics) LabelledValues(name, help, label string, rising bool, read func() []Sample) {
 	kind := prometheus.GaugeValue
 	if rising {
 		kind = prometheus.CounterValue
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -80,7 +80,7 @@
 	// Routers lists the RPC addresses of initial routers; the VM list adds others.
 	Routers  []string      `yaml:"routers" validate:"min=1,dive,hostname_port"`
 	Upstream AgentUpstream `yaml:"upstream"`
-	Once     AtMostOnce          `yaml:"once"`
+	Once     AtMostOnce    `yaml:"once"`
 }
 
 // AgentUpstream says which upstream an agent serves.
--- a/modules/usage/usage.go
+++ b/modules/usage/usage.go
@@ -27,12 +27,12 @@
 	mean float64
 }
 
-// decay is the weight of the past in the mean usage, at one sample every 0.4 s: usage from 1.5 s ago
-// is weighted as a quarter.
+// decay is the weight of the past in the mean usage, at one sample every 0.4 s: usage from 1.5 s
+// ago is weighted as a quarter.
 const decay = 0.7
 
-// Note records the processor time used until now, and returns the mean number of cores in use.
-func (m *Meter) Note(now time.Time, used time.Duration) float64 {
+// Observe records the processor time used until now, and returns the mean number of cores in use.
+func (m *Meter) Observe(now time.Time, used time.Duration) float64 {
 	if passed := now.Sub(m.at); !m.at.IsZero() && passed > 0 {
 		m.mean = decay*m.mean + (1-decay)*(used-m.used).Seconds()/passed.Seconds()
 	}
--- a/modules/usage/usage_test.go
+++ b/modules/usage/usage_test.go
@@ -26,8 +26,8 @@
 	var m Meter
 	begin := time.Unix(1000, 0)
 	for second := range 20 {
-		m.Note(begin.Add(time.Duration(second)*time.Second), time.Duration(second)*200*time.Millisecond)
+		m.Observe(begin.Add(time.Duration(second)*time.Second), time.Duration(second)*200*time.Millisecond)
 	}
-	fmt.Printf("%.2f cores\n", m.Note(begin.Add(20*time.Second), 4*time.Second))
+	fmt.Printf("%.2f cores\n", m.Observe(begin.Add(20*time.Second), 4*time.Second))
 	// Output: 0.20 cores
 }
--- a/routers/caller.go
+++ b/routers/caller.go
@@ -198,7 +198,7 @@
 	sink := &callerStream{c: c, id: r.ID}
 	res := w.Dispatcher.Do(c.Request.Context(), r, sink)
 	now := clock.Now()
-	w.Metrics.Request(string(r.Service.ID), string(res.Outcome), shortReason(res.Reason), now.Sub(start), res.Attempts)
+	w.Metrics.ObserveRequest(string(r.Service.ID), string(res.Outcome), shortReason(res.Reason), now.Sub(start), res.Attempts)
 	w.Ring.Add(now, timeline.Event{Kind: timeline.KindRequest, Name: "ended", Request: string(r.ID), Detail: fmt.Sprintf("outcome=%s reason=%q attempts=%d", res.Outcome, res.Reason, res.Attempts)})
 	if sink.started {
 		finishStream(c, r, res)
--- a/services/admission/admission.go
+++ b/services/admission/admission.go
@@ -29,7 +29,7 @@
 	// not set.
 	Timeout time.Duration
 	// Ask holds the requirements of the request for an upstream.
-	Ask balance.Ask
+	Ask balance.PickOptions
 	// Waited is how long the request has already waited for room, since it arrived or was last
 	// sent.
 	Waited time.Duration
@@ -169,9 +169,9 @@
 	}
 }
 
-// Wake returns the waiting requests for which there is room now. A request that has already tried
+// Admit returns the waiting requests for which there is room now. A request that has already tried
 // the only upstream with room does not block the others.
-func (q *Queue) Wake(now time.Time, usable []upstream.Instance) []Grant {
+func (q *Queue) Admit(now time.Time, usable []upstream.Instance) []Grant {
 	var out []Grant
 	var skipped []*Request
 	for x := q.next(now, skipped); x != nil; x = q.next(now, skipped) {
--- a/services/admission/admission_test.go
+++ b/services/admission/admission_test.go
@@ -52,7 +52,7 @@
 			if c.broken {
 				q.pool.Report(now, balance.Group{}, nil)
 			}
-			x := &Request{Route: "r", Goal: 500 * time.Millisecond, Arrived: now, Deadline: now.Add(c.patience), Patience: c.patience, Ask: balance.Ask{Engine: engine}}
+			x := &Request{Route: "r", Goal: 500 * time.Millisecond, Arrived: now, Deadline: now.Add(c.patience), Patience: c.patience, Ask: balance.PickOptions{Engine: engine}}
 			x.retried = q.isRetry(now, x)
 			if got := q.wait(now, x, c.unlisted, 0); got != c.want {
 				t.Errorf("waits %s, want %s", got, c.want)
@@ -96,7 +96,7 @@
 			q := NewQueue(balance.NewPool(""))
 			g := balance.Group{ID: "g", Open: !c.closed, Ranks: ranks(c.pace), Skew: 1.3}
 			q.pool.Report(now, g, nil)
-			x := &Request{Route: "r", Arrived: now, Deadline: now.Add(7 * time.Second), Patience: 7 * time.Second, Ask: balance.Ask{Engine: engine}, retried: true}
+			x := &Request{Route: "r", Arrived: now, Deadline: now.Add(7 * time.Second), Patience: 7 * time.Second, Ask: balance.PickOptions{Engine: engine}, retried: true}
 			if c.plain {
 				x.Ask.Engine = nil
 			}
@@ -256,11 +256,11 @@
 func TestWake(t *testing.T) {
 	now := time.Unix(1000, 0)
 	u := upstream.Instance{ID: "u0", Service: "s", Address: "a0", Slots: 1, State: upstream.StateReady}
-	tried := &Request{Ask: balance.Ask{Exclude: map[upstream.ID]bool{"u0": true}}, Arrived: now, Goal: time.Second}
+	tried := &Request{Ask: balance.PickOptions{Exclude: map[upstream.ID]bool{"u0": true}}, Arrived: now, Goal: time.Second}
 	fresh := &Request{Arrived: now, Goal: 2 * time.Second}
 	q := NewQueue(balance.NewPool(""))
 	q.waiting = []*Request{tried, fresh}
-	grants := q.Wake(now, []upstream.Instance{u})
+	grants := q.Admit(now, []upstream.Instance{u})
 	if len(grants) != 1 || grants[0].Request != fresh || !slices.Equal(q.waiting, []*Request{tried}) {
 		t.Errorf("let in: %+v; %d wait", grants, len(q.waiting))
 	}
@@ -291,7 +291,7 @@
 		t.Run(name, func(t *testing.T) {
 			pool := balance.NewPool("")
 			pool.Conditions().Note(now, now, limited.Run(), upstream.Notice{Limited: true, Limit: 1})
-			pool.Conditions().Answered(now, now, limited.Run(), condition.Reply{Again: c.opening})
+			pool.Conditions().Answered(now, now, limited.Run(), condition.PermitReply{Again: c.opening})
 			q := NewQueue(pool)
 			q.longestTimeout["r"] = 4 * time.Second
 			x := &Request{Route: "r", Goal: 300 * time.Millisecond, Arrived: now, Deadline: now.Add(4 * time.Second), Patience: 4 * time.Second, Waited: c.waited}
--- a/services/agent/coordinate.go
+++ b/services/agent/coordinate.go
@@ -89,7 +89,7 @@
 // recoverRound completes or aborts a round that an earlier coordinator may have left open.
 func (s *switcher) recoverRound(ctx context.Context, coord *expertswitch.Coordinator, g service.Group) {
 	if b, err := s.promised(ctx); err == nil {
-		coord.Seen(b)
+		coord.ObserveBallot(b)
 	}
 	res := s.round(ctx, coord, g, nil)
 	s.recordEvent(g, "round", fmt.Sprintf("result=%s purpose=recover", res))
--- a/services/agent/metrics.go
+++ b/services/agent/metrics.go
@@ -34,7 +34,7 @@
 // registerAccounts registers the metrics of each account's use of the upstream.
 func (a *Agent) registerAccounts(m *metrics.Metrics) {
 	each := func(name, help string, rising bool, value func(share.Account) float64) {
-		m.Each(name, help, "account", rising, func() []metrics.Sample {
+		m.LabelledValues(name, help, "account", rising, func() []metrics.Sample {
 			var out []metrics.Sample
 			for _, acc := range a.gate.Accounts() {
 				out = append(out, metrics.Sample{Label: string(acc.ID), Value: value(acc)})
--- a/services/agent/peers.go
+++ b/services/agent/peers.go
@@ -87,8 +87,8 @@
 	return t, err
 }
 
-// CollectUnjournaledKeys requests from every known router the keys of a slice that it sent without the log. It
-// reports whether the keys are complete.
+// CollectUnjournaledKeys requests from every known router the keys of a slice that it sent without
+// the log. It reports whether the keys are complete.
 func (l *links) CollectUnjournaledKeys(ctx context.Context, s request.KeySlice, epoch once.Epoch) ([]once.KeyID, bool) {
 	l.mu.Lock()
 	var addresses []string
--- a/services/balance/allotment_test.go
+++ b/services/balance/allotment_test.go
@@ -138,7 +138,7 @@
 			}
 			for range 40 { // many callers at each router, one after another
 				p := pools[r.IntN(routers)]
-				if u, ok := p.Pick(now, cands, Ask{Engine: engine, Bounds: Bounds{Rank: most, Mean: most}, Routers: routers}); ok {
+				if u, ok := p.Pick(now, cands, PickOptions{Engine: engine, Bounds: Bounds{Rank: most, Mean: most}, Routers: routers}); ok {
 					p.Sent(begin, u.Run())
 					sent++
 				}
--- a/services/balance/balance_test.go
+++ b/services/balance/balance_test.go
@@ -143,7 +143,7 @@
 			}
 			for k := range perRound {
 				p := pools[k%routers]
-				u, ok := p.Pick(now, cands, Ask{Engine: engine, Routers: routers})
+				u, ok := p.Pick(now, cands, PickOptions{Engine: engine, Routers: routers})
 				if !ok {
 					t.Fatal("no room")
 				}
@@ -170,13 +170,13 @@
 	cands, _ := candidates(2)
 	cases := map[string]struct {
 		do   func(p *Pool)
-		ask  Ask
+		ask  PickOptions
 		at   time.Duration
 		want upstream.ID
 	}{
-		"the one with fewer requests": {func(p *Pool) { p.Sent(begin, run("u0")) }, Ask{}, 0, "u1"},
-		"not one that is excluded":    {func(*Pool) {}, Ask{Exclude: map[upstream.ID]bool{"u1": true}}, 0, "u0"},
-		"not one that fails":          {func(p *Pool) { p.Sent(begin, run("u0")); p.Done(begin, run("u0"), ResultError, 0, false) }, Ask{}, 0, "u1"},
+		"the one with fewer requests": {func(p *Pool) { p.Sent(begin, run("u0")) }, PickOptions{}, 0, "u1"},
+		"not one that is excluded":    {func(*Pool) {}, PickOptions{Exclude: map[upstream.ID]bool{"u1": true}}, 0, "u0"},
+		"not one that fails":          {func(p *Pool) { p.Sent(begin, run("u0")); p.Done(begin, run("u0"), ResultError, 0, false) }, PickOptions{}, 0, "u1"},
 		"not one that is slow": {func(p *Pool) {
 			for range 20 {
 				p.Sent(begin, run("u0"))
@@ -184,14 +184,14 @@
 				p.Sent(begin, run("u1"))
 				p.Done(begin, run("u1"), ResultOK, 50*time.Millisecond, true)
 			}
-		}, Ask{}, 0, "u1"},
+		}, PickOptions{}, 0, "u1"},
 		"not one that cannot be reached": {func(p *Pool) {
 			p.Sent(begin, run("u1"))
 			p.Done(begin, run("u1"), ResultUnreached, 0, false)
 			p.Sent(begin, run("u0"))
-		}, Ask{}, 0, "u0"},
-		"none when all are at the limit": {func(p *Pool) { p.Sent(begin, run("u0")); p.Sent(begin, run("u1")) }, Ask{Bounds: Bounds{Rank: 1}}, 0, ""},
-		"none when the mean is reached":  {func(p *Pool) { p.Sent(begin, run("u0")); p.Sent(begin, run("u0")) }, Ask{Bounds: Bounds{Mean: 1}}, 0, ""},
+		}, PickOptions{}, 0, "u0"},
+		"none when all are at the limit": {func(p *Pool) { p.Sent(begin, run("u0")); p.Sent(begin, run("u1")) }, PickOptions{Bounds: Bounds{Rank: 1}}, 0, ""},
+		"none when the mean is reached":  {func(p *Pool) { p.Sent(begin, run("u0")); p.Sent(begin, run("u0")) }, PickOptions{Bounds: Bounds{Mean: 1}}, 0, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -218,7 +218,7 @@
 	p.Report(begin, Group{ID: "a", Ranks: []RankLoad{{Address: "a0"}}}, ids)
 	p.Report(begin, Group{ID: "b", Open: true, Ranks: []RankLoad{{Address: "a1"}}}, ids)
 	for range 4 {
-		if u, ok := p.Pick(begin, cands, Ask{Engine: engine}); !ok || u.ID != "u1" || p.Closed(begin) {
+		if u, ok := p.Pick(begin, cands, PickOptions{Engine: engine}); !ok || u.ID != "u1" || p.Closed(begin) {
 			t.Errorf("picked %q of a broken group, or nothing", u.ID)
 		}
 	}
@@ -231,7 +231,7 @@
 	report := func(p *Pool, places Allotment) {
 		p.Report(begin, Group{ID: "g", Open: true, Ranks: []RankLoad{{Address: "a0", Running: 5, Pace: 1}, {Address: "a1", Running: 1, Pace: 1}}, Places: places}, ids)
 	}
-	ask := Ask{Engine: engine, Bounds: Bounds{Rank: 6, Mean: 6}, Routers: 3}
+	ask := PickOptions{Engine: engine, Bounds: Bounds{Rank: 6, Mean: 6}, Routers: 3}
 	old := freshFor + time.Millisecond
 	cases := map[string]struct {
 		places Allotment
@@ -259,7 +259,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			p := NewPool("")
-			p.DrawBy(func() float64 { return 0 })
+			p.SetRandom(func() float64 { return 0 })
 			report(p, c.places)
 			c.do(p)
 			if got, _ := p.Pick(begin.Add(c.at), cands, ask); got.ID != c.want {
@@ -292,7 +292,7 @@
 	p.Sent(begin, before.Run())
 	p.Sent(begin, before.Run())
 	p.Done(begin, before.Run(), ResultUnreached, 0, false)
-	ask := Ask{Bounds: Bounds{Rank: 1}}
+	ask := PickOptions{Bounds: Bounds{Rank: 1}}
 	if _, ok := p.Pick(begin, []upstream.Instance{before}, ask); ok {
 		t.Error("an upstream that cannot be reached was chosen")
 	}
@@ -380,7 +380,7 @@
 	reported := func(running int) Group {
 		return Group{ID: "g", Open: true, Ranks: []RankLoad{{Address: "a0", Running: running, Pace: 1}, {Address: "a1", Running: running + 1, Pace: 1}}}
 	}
-	ask := Ask{Engine: engine, Bounds: Bounds{Rank: 10, Mean: 8}, Leaderless: Bounds{Rank: 6, Mean: 4}, Routers: 10}
+	ask := PickOptions{Engine: engine, Bounds: Bounds{Rank: 10, Mean: 8}, Leaderless: Bounds{Rank: 6, Mean: 4}, Routers: 10}
 	sent := func(p *Pool, ids ...upstream.ID) {
 		for _, id := range ids {
 			p.Sent(begin, run(id))
@@ -401,7 +401,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			p := NewPool("")
-			p.DrawBy(func() float64 { return 0 })
+			p.SetRandom(func() float64 { return 0 })
 			p.Report(begin, reported(c.running), ids)
 			sent(p, c.sent...)
 			if got, _ := p.Pick(begin.Add(c.at), cands, ask); got.ID != c.want {
--- a/services/balance/group.go
+++ b/services/balance/group.go
@@ -43,7 +43,8 @@
 	// Skew is the ratio of the heaviest rank's load to the mean under the current map. It includes
 	// the time that ranks take, so it covers slow ranks as well.
 	Skew float64
-	// Backlog holds the waiting requests. Coordinators do not set it; it is filled in by Book.
+	// Backlog holds the waiting requests. Coordinators do not set it; it is filled in by
+	// RouterRegistry.
 	Backlog Backlog
 	// Ranks lists the load of each rank.
 	Ranks []RankLoad
--- a/services/balance/pace.go
+++ b/services/balance/pace.go
@@ -97,9 +97,9 @@
 	return l.pass(e, 0) + l.pass(e, e.UsualPrompt)
 }
 
-// FirstSkew is the skew assumed while none is known. A newly formed group is on its first map, on
-// which skews of 2.2 to 3.6 were observed; a shift of demand causes about the same.
-const FirstSkew = 3.0
+// InitialMapSkew is the skew assumed while none is known. A newly formed group is on its first map,
+// on which skews of 2.2 to 3.6 were observed; a shift of demand causes about the same.
+const InitialMapSkew = 3.0
 
 // GroupBounds returns how many requests the ranks of a group may have so that passes meet the gap
 // target; 0 means no target. If a few streams already miss the target, ranks may fill all their
--- a/services/balance/pool.go
+++ b/services/balance/pool.go
@@ -135,8 +135,8 @@
 // Conditions returns the conditions that the upstreams report in their answers.
 func (p *Pool) Conditions() *condition.Register { return p.conditions }
 
-// DrawBy sets the source of random numbers in [0, 1), so that choices are reproducible.
-func (p *Pool) DrawBy(random func() float64) { p.random = random }
+// SetRandom sets the source of random numbers in [0, 1), so that choices are reproducible.
+func (p *Pool) SetRandom(random func() float64) { p.random = random }
 
 func (p *Pool) state(id upstream.Run) *state {
 	s, ok := p.states[id]
@@ -163,8 +163,8 @@
 	return float64(s.inFlight * max(routers, 1))
 }
 
-// Ask holds the requirements of a request for an upstream.
-type Ask struct {
+// PickOptions holds the requirements of a request for an upstream.
+type PickOptions struct {
 	// Engine is nil for plain services.
 	Engine *catalog.Engine
 	// Bounds applies to each upstream and to their mean; above it the request waits. 0 means no
@@ -177,7 +177,7 @@
 }
 
 // Pick returns the upstream with the least load, or false if none has room.
-func (p *Pool) Pick(now time.Time, cands []upstream.Instance, a Ask) (upstream.Instance, bool) {
+func (p *Pool) Pick(now time.Time, cands []upstream.Instance, a PickOptions) (upstream.Instance, bool) {
 	best, bestScore := -1, math.Inf(1)
 	p.rotation++
 	if a.Bounds.Mean > 0 && !p.allotted(now, cands) && p.total(now, cands, a.Routers) >= float64(a.Bounds.Mean*len(cands)) {
@@ -210,7 +210,7 @@
 
 // estimator estimates the load of upstreams without a fresh report.
 type estimator struct {
-	ask Ask
+	ask PickOptions
 	// mixed reports whether only some of the upstreams have a fresh report.
 	mixed bool
 	// others estimates the requests of other routers at each upstream without a fresh report,
@@ -224,7 +224,7 @@
 
 // estimator returns the load estimator for a request. If no upstream has a fresh report, the
 // estimate is based on this router's own sends, which are equally incomplete for all of them.
-func (p *Pool) estimator(now time.Time, cands []upstream.Instance, a Ask) estimator {
+func (p *Pool) estimator(now time.Time, cands []upstream.Instance, a PickOptions) estimator {
 	v := estimator{ask: a, weight: 1}
 	stale, own := 0, 0
 	for _, c := range cands {
--- a/services/balance/report.go
+++ b/services/balance/report.go
@@ -35,8 +35,8 @@
 	Places   []uint
 }
 
-// Carried returns the rank list if the report includes it.
-func (r *Report) Carried() (RankList, bool) {
+// IncludedList returns the rank list if the report includes it.
+func (r *Report) IncludedList() (RankList, bool) {
 	if len(r.Addresses) != len(r.Running) {
 		return RankList{}, false
 	}
@@ -153,8 +153,8 @@
 	return l.byAddress(counts)
 }
 
-// PackMost returns limits by the positions of ranks in the list.
-func (l RankList) PackMost(m SendLimits) map[int]uint {
+// PackLimits returns limits by the positions of ranks in the list.
+func (l RankList) PackLimits(m SendLimits) map[int]uint {
 	if len(m) == 0 {
 		return nil
 	}
--- a/services/balance/report_test.go
+++ b/services/balance/report_test.go
@@ -45,7 +45,7 @@
 			l := list.Next(tc.group.Ranks)
 			r := roundTrip(t, l.Pack(tc.group, tc.has.Number))
 			has := tc.has
-			if carried, ok := r.Carried(); ok {
+			if carried, ok := r.IncludedList(); ok {
 				has = carried
 			}
 			got, ok := has.Unpack(r)
@@ -132,7 +132,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			sent := list.PackMost(c.most)
+			sent := list.PackLimits(c.most)
 			if fmt.Sprint(sent) != fmt.Sprint(c.sent) {
 				t.Errorf("sent %v, want %v", sent, c.sent)
 			}
--- a/services/balance/router_registry.go
+++ b/services/balance/router_registry.go
@@ -12,9 +12,9 @@
 	"fawnwinch.org/fawnwinch/services/peer"
 )
 
-// Book records the routers' replies to a coordinator and the allotments that routers received. It
-// is safe for use by several goroutines and reads no clock.
-type Book struct {
+// RouterRegistry records the routers' replies to a coordinator and the allotments that routers
+// received. It is safe for use by several goroutines and reads no clock.
+type RouterRegistry struct {
 	mu       sync.Mutex
 	allotter *Allotter
 	routers  map[string]*routerEntry
@@ -71,7 +71,7 @@
 )
 
 // Targets returns the routers that get a report in the current round.
-func (b *Book) Targets(now time.Time, routers []peer.Info) []peer.Info {
+func (b *RouterRegistry) Targets(now time.Time, routers []peer.Info) []peer.Info {
 	if len(routers) <= fullBroadcastMax {
 		return routers
 	}
@@ -101,7 +101,7 @@
 
 // HandleLoadRequest records that a router has requests for the group, and returns the load packed
 // for that router.
-func (b *Book) HandleLoadRequest(now time.Time, w LoadRequest, g Group) Report {
+func (b *RouterRegistry) HandleLoadRequest(now time.Time, w LoadRequest, g Group) Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.entry(w.Router)
@@ -114,7 +114,7 @@
 }
 
 // entry returns the record of a router and creates it if necessary. The caller holds the lock.
-func (b *Book) entry(r peer.Info) *routerEntry {
+func (b *RouterRegistry) entry(r peer.Info) *routerEntry {
 	e, ok := b.routers[r.Name]
 	if !ok {
 		e = &routerEntry{outstanding: map[uint64]Allotment{}}
@@ -134,19 +134,19 @@
 )
 
 // valid returns how long a router's reply is used. The caller holds the lock.
-func (b *Book) valid() time.Duration {
+func (b *RouterRegistry) valid() time.Duration {
 	return max(replyValid, time.Duration(replyValidIntervals*float64(b.reportInterval)))
 }
 
-// NewBook returns an empty book. Rank lists are numbered from first on; coordinators must not use
-// the same numbers.
-func NewBook(first uint64) *Book {
-	return &Book{allotter: NewAllotter(), routers: map[string]*routerEntry{}, probedAt: map[string]time.Time{}, list: RankList{Number: first}}
+// NewRouterRegistry returns an empty registry. Rank lists are numbered from first on; coordinators
+// must not use the same numbers.
+func NewRouterRegistry(first uint64) *RouterRegistry {
+	return &RouterRegistry{allotter: NewAllotter(), routers: map[string]*routerEntry{}, probedAt: map[string]time.Time{}, list: RankList{Number: first}}
 }
 
-// Report starts a report. It returns the report's number and the allotments of the routers with a
-// valid reply. Other routers decide by themselves, and all do if bounds is nil.
-func (b *Book) Report(now time.Time, routers []peer.Info, ranks []RankLoad, bounds *Bounds) (uint64, map[string]Allotment) {
+// StartReport starts a report. It returns the report's number and the allotments of the routers
+// with a valid reply. Other routers decide by themselves, and all do if bounds is nil.
+func (b *RouterRegistry) StartReport(now time.Time, routers []peer.Info, ranks []RankLoad, bounds *Bounds) (uint64, map[string]Allotment) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reports++
@@ -191,7 +191,7 @@
 // probes limits the allotments at ranks that look idle because they reject requests. Each router
 // without a rejection would send there first, and most of many routers have none. One request at a
 // time finds out when such a rank accepts requests again. The caller holds the lock.
-func (b *Book) probes(now time.Time, ranks []RankLoad, demands []Demand) SendLimits {
+func (b *RouterRegistry) probes(now time.Time, ranks []RankLoad, demands []Demand) SendLimits {
 	out := SendLimits{}
 	for _, r := range ranks {
 		rejects := slices.ContainsFunc(demands, func(d Demand) bool { return slices.Contains(d.Resting, r.Address) })
@@ -209,7 +209,7 @@
 }
 
 // Pack returns the latest report packed for a router, and the rank list that it refers to.
-func (b *Book) Pack(name string, g Group) (Report, RankList) {
+func (b *RouterRegistry) Pack(name string, g Group) (Report, RankList) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	has := uint64(0)
@@ -220,9 +220,9 @@
 	return b.list.Pack(g, has), b.list
 }
 
-// Answered records a router's reply to a report with the given rank list. The reply covers all
+// RecordReply records a router's reply to a report with the given rank list. The reply covers all
 // sends before the router received the report, so earlier allotments are no longer outstanding.
-func (b *Book) Answered(now time.Time, router peer.Info, report uint64, list RankList, reply ReportReply) {
+func (b *RouterRegistry) RecordReply(now time.Time, router peer.Info, report uint64, list RankList, reply ReportReply) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.entry(router)
@@ -247,7 +247,7 @@
 
 // Unstarted returns the number of requests at a rank whose answers have not begun, from valid
 // replies of routers.
-func (b *Book) Unstarted(now time.Time, engine string) int {
+func (b *RouterRegistry) Unstarted(now time.Time, engine string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sum := 0
--- a/services/balance/router_registry_test.go
+++ b/services/balance/router_registry_test.go
@@ -24,43 +24,43 @@
 		}
 		return n
 	}
-	b := NewBook(1)
+	b := NewRouterRegistry(1)
 	names := []peer.Info{{Name: "a"}, {Name: "b"}}
-	first, places := b.Report(at(0), names, ranks, bounds)
+	first, places := b.StartReport(at(0), names, ranks, bounds)
 	if len(places) != 0 {
 		t.Errorf("routers that have never answered got allotments %v", places)
 	}
 	answer := func(ms int, name string, report uint64, unstarted uint, wanted int) {
 		_, list := b.Pack(name, Group{Ranks: ranks})
-		b.Answered(at(ms), peer.Info{Name: name}, report, list, ReportReply{List: list.Number, Unstarted: []uint{unstarted}, Wanted: wanted})
+		b.RecordReply(at(ms), peer.Info{Name: name}, report, list, ReportReply{List: list.Number, Unstarted: []uint{unstarted}, Wanted: wanted})
 	}
 	answer(5, "a", first, 0, 3)
 	answer(5, "b", first, 0, 0)
-	second, places := b.Report(at(70), names, ranks, bounds)
+	second, places := b.StartReport(at(70), names, ranks, bounds)
 	if sum(places) != 8 || places["a"]["e"] <= places["b"]["e"] {
 		t.Errorf("allotments %v, want 8 requests, most of them for the busy router", places)
 	}
 	answer(75, "a", second, 1, 3)
-	if _, places = b.Report(at(140), names, ranks, bounds); sum(places) != 0 {
+	if _, places = b.StartReport(at(140), names, ranks, bounds); sum(places) != 0 {
 		t.Errorf("allotments %v, want none: all slots may be in use", places)
 	}
 	if n := b.Unstarted(at(140), "e"); n != 1 {
 		t.Errorf("%d requests have not begun, want 1", n)
 	}
-	third, _ := b.Report(at(210), names, ranks, bounds)
+	third, _ := b.StartReport(at(210), names, ranks, bounds)
 	answer(215, "a", third, 0, 0)
 	answer(216, "a", second, 5, 0)
 	if n := b.Unstarted(at(220), "e"); n != 0 {
 		t.Errorf("an answer that came late counts: %d requests have not begun", n)
 	}
-	_, places = b.Report(at(1100), names, ranks, bounds)
+	_, places = b.StartReport(at(1100), names, ranks, bounds)
 	if got, ok := places["a"]; !ok || got["e"] != 8 {
 		t.Errorf("allotments %v: those of a router that no longer answers must be allotted again", places)
 	}
 	if _, ok := places["b"]; ok {
 		t.Error("a router that no longer answers got an allotment")
 	}
-	if _, places = b.Report(at(1110), names, ranks, nil); places != nil {
+	if _, places = b.StartReport(at(1110), names, ranks, nil); places != nil {
 		t.Errorf("allotments %v without bounds, want nil", places)
 	}
 }
@@ -71,17 +71,17 @@
 	ranks := []RankLoad{{Address: "e"}, {Address: "f"}}
 	g := Group{Ranks: ranks}
 	bounds := &Bounds{Rank: 8, Mean: 8}
-	b := NewBook(1)
+	b := NewRouterRegistry(1)
 	sendReport := func(ms int, read bool) (carried bool, places Allotment) {
 		now := begin.Add(time.Duration(ms) * time.Millisecond)
-		number, all := b.Report(now, []peer.Info{{Name: "a"}}, g.Ranks, bounds)
+		number, all := b.StartReport(now, []peer.Info{{Name: "a"}}, g.Ranks, bounds)
 		report, list := b.Pack("a", g)
 		reply := ReportReply{}
 		if read {
 			reply.List = list.Number
 		}
-		b.Answered(now, peer.Info{Name: "a"}, number, list, reply)
-		_, carried = report.Carried()
+		b.RecordReply(now, peer.Info{Name: "a"}, number, list, reply)
+		_, carried = report.IncludedList()
 		return carried, all["a"]
 	}
 	steps := []struct {
@@ -118,7 +118,7 @@
 		}
 		return out
 	}
-	b := NewBook(1)
+	b := NewRouterRegistry(1)
 	if got := b.Targets(begin, routers(fullBroadcastMax)); len(got) != fullBroadcastMax {
 		t.Errorf("the report goes to %d of %d routers", len(got), fullBroadcastMax)
 	}
@@ -133,7 +133,7 @@
 		t.Errorf("a new coordinator has reported to %d routers after %d rounds", len(reports), initialRounds)
 	}
 	b.HandleLoadRequest(begin, LoadRequest{Router: many[7]}, Group{})
-	b.Answered(begin, many[8], 1, RankList{}, ReportReply{Idle: true})
+	b.RecordReply(begin, many[8], 1, RankList{}, ReportReply{Idle: true})
 	reports = map[string]int{}
 	for round := range rotationRounds {
 		for _, r := range b.Targets(begin.Add(time.Duration(round)*70*time.Millisecond), many) {
@@ -157,7 +157,7 @@
 // TestProbes checks that a rank which rejects some routers and runs nothing gets one request at a
 // time, also from other routers, until it accepts one.
 func TestProbes(t *testing.T) {
-	b := NewBook(1)
+	b := NewRouterRegistry(1)
 	steps := []struct {
 		after   time.Duration
 		running int
--- a/services/balance/time_to_accept.go
+++ b/services/balance/time_to_accept.go
@@ -11,10 +11,10 @@
 	"fawnwinch.org/fawnwinch/services/condition"
 )
 
-// Most returns the limits on requests to some upstreams until the next report, from the conditions
-// that they report, and the upstreams that have asked this router to back off. Addresses maps
-// upstream addresses to runs. Upstreams without a limit are left out.
-func (p *Pool) Most(now time.Time, addresses map[string]upstream.Run) (most SendLimits, resting []string) {
+// SendLimits returns the limits on requests to some upstreams until the next report, from the
+// conditions that they report, and the upstreams that have asked this router to back off. Addresses
+// maps upstream addresses to runs. Upstreams without a limit are left out.
+func (p *Pool) SendLimits(now time.Time, addresses map[string]upstream.Run) (most SendLimits, resting []string) {
 	if p.conditions.Empty() {
 		return nil, nil
 	}
--- a/services/balance/time_to_accept_test.go
+++ b/services/balance/time_to_accept_test.go
@@ -16,7 +16,7 @@
 func TestOpening(t *testing.T) {
 	limits := func(p *Pool, id upstream.ID, rate upstream.Rate, again time.Duration) {
 		p.Conditions().Note(begin, begin, run(id), upstream.Notice{Limited: true, Limit: rate})
-		p.Conditions().Answered(begin, begin, run(id), condition.Reply{Again: again})
+		p.Conditions().Answered(begin, begin, run(id), condition.PermitReply{Again: again})
 	}
 	cases := map[string]struct {
 		prepare  func(p *Pool)
--- a/services/condition/limit.go
+++ b/services/condition/limit.go
@@ -62,18 +62,18 @@
 	Known bool
 }
 
-// Told returns the wire form of a limit at the given time.
-func (l Limit) Told(now time.Time) WireLimit {
+// Wire returns the wire form of a limit at the given time.
+func (l Limit) Wire(now time.Time) WireLimit {
 	if !l.known() {
 		return WireLimit{}
 	}
 	return WireLimit{Named: l.Named, Rate: l.Rate, SentAge: now.Sub(l.Sent), HeardAge: now.Sub(l.Heard), Known: true}
 }
 
-// At converts a received limit. The message was sent at the earliest at sent, and received at came.
-// The limit is older than its ages by the unknown transfer time: Sent is assumed as early and Heard
-// as late as possible.
-func (t WireLimit) At(sent, came time.Time) Limit {
+// ToLimit converts a received limit. The message was sent at the earliest at sent, and received at
+// came. The limit is older than its ages by the unknown transfer time: Sent is assumed as early and
+// Heard as late as possible.
+func (t WireLimit) ToLimit(sent, came time.Time) Limit {
 	if !t.Known {
 		return Limit{}
 	}
--- a/services/condition/limit_test.go
+++ b/services/condition/limit_test.go
@@ -49,7 +49,7 @@
 // TestWireLimit checks that a transferred limit does not end a newer one, however long the transfer
 // took.
 func TestWireLimit(t *testing.T) {
-	end := limitOf(0, 100, 150).Told(at(200))
+	end := limitOf(0, 100, 150).Wire(at(200))
 	cases := map[string]struct {
 		limit Limit
 		// sent and came are when the message was sent at the earliest and when it was received, on
@@ -63,12 +63,12 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			if got := c.limit.Merge(end.At(at(c.sent), at(c.came))); got.Named != c.named {
+			if got := c.limit.Merge(end.ToLimit(at(c.sent), at(c.came))); got.Named != c.named {
 				t.Errorf("limit in force: %t, want %t", got.Named, c.named)
 			}
 		})
 	}
-	if got := (Limit{}).Told(at(0)).At(at(0), at(10)); got != (Limit{}) {
+	if got := (Limit{}).Wire(at(0)).ToLimit(at(0), at(10)); got != (Limit{}) {
 		t.Errorf("an unknown limit became %+v after the transfer", got)
 	}
 }
--- a/services/condition/permits.go
+++ b/services/condition/permits.go
@@ -15,9 +15,9 @@
 	permitValid = 500 * time.Millisecond
 	// maxPermits bounds the permits in one request.
 	maxPermits = 64
-	// AskTime is the timeout of a request for permits. Meanwhile no other request of the router
+	// PermitTimeout is the timeout of a request for permits. Meanwhile no other request of the router
 	// waits for the same upstream.
-	AskTime = 200 * time.Millisecond
+	PermitTimeout = 200 * time.Millisecond
 )
 
 // permits holds a router's permits for an upstream with a rate limit. All routers share the limit,
@@ -51,7 +51,7 @@
 		p.taken++
 		return
 	}
-	p.askAt, p.asking = now.Add(AskTime), true
+	p.askAt, p.asking = now.Add(PermitTimeout), true
 }
 
 // release records that a chosen request is not sent.
@@ -117,8 +117,8 @@
 	Wanted int
 }
 
-// Reply is the reply to a PermitRequest.
-type Reply struct {
+// PermitReply is the reply to a PermitRequest.
+type PermitReply struct {
 	Given int
 	// Again is when the router may ask again if no permit was granted.
 	Again time.Duration
@@ -157,19 +157,19 @@
 func (g *Register) Ask(now time.Time, run upstream.Run) PermitRequest {
 	a := PermitRequest{Run: run}
 	if r, ok := g.records[run]; ok {
-		a.Limit, a.Wanted = r.limit.Told(now), r.permits.ask(now)
+		a.Limit, a.Wanted = r.limit.Wire(now), r.permits.ask(now)
 	}
 	return a
 }
 
 // Answered records the reply to a request for permits that was sent at asked. One of the permits is
 // for the request on whose behalf the router asked.
-func (g *Register) Answered(asked, now time.Time, run upstream.Run, reply Reply) (Permission, []Change) {
+func (g *Register) Answered(asked, now time.Time, run upstream.Run, reply PermitReply) (Permission, []Change) {
 	r, ok := g.records[run]
 	if !ok {
 		return PermissionGiven, nil
 	}
-	changes := g.learn(r, reply.Limit.At(asked, now))
+	changes := g.learn(r, reply.Limit.ToLimit(asked, now))
 	r.permits.asking = false
 	switch p := &r.permits; {
 	case !r.limit.Named:
--- a/services/condition/permits_test.go
+++ b/services/condition/permits_test.go
@@ -13,8 +13,8 @@
 // TestPermits simulates requests of a router to an upstream with a rate limit.
 func TestPermits(t *testing.T) {
 	run := upstream.Run{ID: "u"}
-	reply := func(given int, again time.Duration) Reply {
-		return Reply{Given: given, Again: again, Limit: limitOf(1, 0, 10).Told(at(20))}
+	reply := func(given int, again time.Duration) PermitReply {
+		return PermitReply{Given: given, Again: again, Limit: limitOf(1, 0, 10).Wire(at(20))}
 	}
 	type state struct {
 		*Register
@@ -40,7 +40,7 @@
 		},
 		"one request asks at a time": func(s state) {
 			s.Choose(at(20), run)
-			opens(s, 21, 20+int(AskTime.Milliseconds()))
+			opens(s, 21, 20+int(PermitTimeout.Milliseconds()))
 		},
 		"a request that was chosen before the limit was known asks": func(s state) {
 			permit(s, PermissionAsk)
@@ -104,7 +104,7 @@
 		},
 		"another router has heard that the limit has ended": func(s state) {
 			s.Choose(at(20), run)
-			p, changes := s.Answered(at(40), at(42), run, Reply{Limit: limitOf(0, 15, 30).Told(at(40))})
+			p, changes := s.Answered(at(40), at(42), run, PermitReply{Limit: limitOf(0, 15, 30).Wire(at(40))})
 			if p != PermissionGiven || len(changes) != 1 || !changes[0].Ended {
 				s.t.Errorf("permission %s, changes %+v", p, changes)
 			}
--- a/services/directory/directory.go
+++ b/services/directory/directory.go
@@ -52,7 +52,7 @@
 	table    *membership.Table
 	routers  *membership.Routers
 	tracker  *routing.Tracker
-	register *once.Register
+	register *once.SentKeys
 	// floorsKnown reports whether another router's floors were merged or there is no other router.
 	floorsKnown bool
 	started     time.Time
@@ -186,7 +186,7 @@
 		return membership.Entry{}, false
 	}
 	e, _ := d.table.Entry(now, id)
-	d.tracker.Sent(now, id)
+	d.tracker.RequestSent(now, id)
 	return e, true
 }
 
@@ -219,7 +219,7 @@
 func (d *Directory) Done(now time.Time, id upstream.ID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tracker.Done(now, id)
+	d.tracker.RequestDone(now, id)
 }
 
 // StreamStarted records that the response of such a request is streamed.
@@ -260,8 +260,8 @@
 	return fmt.Sprintf("slice %d of %s has no live owner", e.Slice, e.Service)
 }
 
-// ErrLogUnreachable reports that the log has been unreachable for so long that no slice can change its
-// owner soon.
+// ErrLogUnreachable reports that the log has been unreachable for so long that no slice can change
+// its owner soon.
 var ErrLogUnreachable = eris.New("the log is unreachable")
 
 // outageCertainAfter is how long the log must be unreachable before requests no longer wait for it.
--- a/services/entry/api.go
+++ b/services/entry/api.go
@@ -58,7 +58,9 @@
 }
 
 // position returns the position at which the feed continues.
-func (e FeedProgress) position() services.Position { return services.Position{Era: e.Era, Offset: e.Next} }
+func (e FeedProgress) position() services.Position {
+	return services.Position{Era: e.Era, Offset: e.Next}
+}
 
 // asOf returns when the feed was known to end at that position. Age counts from the sending of the
 // request at asked, so that state does not appear fresher by its time in transit.
--- a/services/entry/entry.go
+++ b/services/entry/entry.go
@@ -38,7 +38,7 @@
 	Nodes() services.Feed[peer.Info]
 	// PutNodes registers processes.
 	PutNodes(ctx context.Context, nodes []peer.Info) error
-	// Refused returns the feed of quarantined requests: those refused because upstreams crashed
+	// Quarantined returns the feed of quarantined requests: those refused because upstreams crashed
 	// while running them.
 	Quarantined() services.Feed[quarantine.Entry]
 	// PutQuarantined stores entries of such requests, and deletes others by name.
@@ -167,7 +167,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	// A router that cannot reach the store keeps trying by itself, see watch.Times.
-	reader := watch.Reader(feed, r.eligibleRouters(now, func(n peer.Info) bool { return !n.StoreLost }))
+	reader := watch.ReaderOf(feed, r.eligibleRouters(now, func(n peer.Info) bool { return !n.StoreLost }))
 	return reader == r.table.Self().Name
 }
 
--- a/services/entry/entry_test.go
+++ b/services/entry/entry_test.go
@@ -213,8 +213,10 @@
 func (silentStore) Upstreams() services.Feed[upstream.Instance] {
 	return silentFeed[upstream.Instance]{}
 }
-func (silentStore) Nodes() services.Feed[peer.Info]          { return silentFeed[peer.Info]{} }
-func (silentStore) Quarantined() services.Feed[quarantine.Entry] { return silentFeed[quarantine.Entry]{} }
+func (silentStore) Nodes() services.Feed[peer.Info] { return silentFeed[peer.Info]{} }
+func (silentStore) Quarantined() services.Feed[quarantine.Entry] {
+	return silentFeed[quarantine.Entry]{}
+}
 
 func (silentStore) PutQuarantined(ctx context.Context, _ []quarantine.Entry, _ []string) error {
 	<-ctx.Done()
@@ -374,7 +376,7 @@
 	if got := r.opts.Relay.RefusedCount(time.Now()); got != 1 {
 		t.Errorf("%d requests are refused after a start, want 1", got)
 	}
-	r.opts.Relay.WithCrashes(func(g *quarantine.Register) { g.Ran(time.Now(), k, quarantine.Finished) })
+	r.opts.Relay.WithCrashes(func(g *quarantine.Register) { g.RecordRun(time.Now(), k, quarantine.CompletedRun) })
 	keep(r, known, 0)
 }
 
@@ -401,7 +403,7 @@
 	crash(one)
 	keep("one is refused", 1)
 	first := maps.Clone(store.entries)
-	r.opts.Relay.WithCrashes(func(g *quarantine.Register) { g.Ran(time.Now(), one, quarantine.Finished) })
+	r.opts.Relay.WithCrashes(func(g *quarantine.Register) { g.RecordRun(time.Now(), one, quarantine.CompletedRun) })
 	crash(two)
 	keep("another one is", 1)
 	second := maps.Clone(store.entries)
--- a/services/entry/follow.go
+++ b/services/entry/follow.go
@@ -147,7 +147,7 @@
 	f.firstReadAt = until
 }
 
-func (f *follower[T]) reading(now time.Time) (watch.Reading, watch.Times) {
+func (f *follower[T]) reading(now time.Time) (watch.FeedState, watch.Times) {
 	mark := f.mark()
 	isReader := f.isReader(now)
 	if mark.Known() {
@@ -160,7 +160,7 @@
 	if f.furthest.next.Era > mark.Next.Era && !f.behind.IsZero() {
 		anew = f.behind.Add(maxBehind)
 	}
-	return watch.Reading{
+	return watch.FeedState{
 		Known: mark.Known(), Anew: anew, AsOf: mark.AsOf, Mine: isReader, Behind: behind || f.trimmed, Patient: f.firstReadAt, Failures: f.failures, Tried: f.failedAt,
 	}, f.times
 }
--- a/services/entry/gossip.go
+++ b/services/entry/gossip.go
@@ -115,7 +115,7 @@
 	if err != nil || self.Cores <= 0 {
 		return false // without measurements the process is not considered busy
 	}
-	fraction := r.meter.Note(now, used) / self.Cores
+	fraction := r.meter.Observe(now, used) / self.Cores
 	return fraction > busyAbove || self.Busy && fraction > idleBelow
 }
 
--- a/services/entry/gossip_state.go
+++ b/services/entry/gossip_state.go
@@ -20,7 +20,7 @@
 type Watermarks struct {
 	// Crashes is the watermark of the register of requests that crashed upstreams, and Limits that
 	// of the rate limits of upstreams.
-	Crashes, Limits peer.Mark
+	Crashes, Limits peer.Watermark
 }
 
 // empty reports whether there is nothing to pull.
@@ -38,7 +38,7 @@
 func (a *API) Hearsay(since Watermarks, reply *GossipedState) error {
 	now := clock.Now()
 	reply.Marks = a.r.watermarks()
-	a.r.opts.Relay.WithCrashes(func(g *quarantine.Register) { reply.Crashes = g.Since(now, since.Crashes) })
+	a.r.opts.Relay.WithCrashes(func(g *quarantine.Register) { reply.Crashes = g.ChangedSince(now, since.Crashes) })
 	if since.Limits != reply.Marks.Limits {
 		reply.Limits = a.r.opts.Relay.Limits(now)
 	}
@@ -48,7 +48,7 @@
 // watermarks returns the watermarks of this router.
 func (r *Router) watermarks() Watermarks {
 	m := Watermarks{Limits: r.opts.Relay.LimitWatermark()}
-	r.opts.Relay.WithCrashes(func(g *quarantine.Register) { m.Crashes = g.Mark() })
+	r.opts.Relay.WithCrashes(func(g *quarantine.Register) { m.Crashes = g.Watermark() })
 	return m
 }
 
--- a/services/entry/permits.go
+++ b/services/entry/permits.go
@@ -26,34 +26,34 @@
 func (r *Router) grantor(now time.Time, run upstream.Run) (name, address string, self bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	name = watch.Reader(feedPermits+string(run.ID), r.eligibleRouters(now, func(peer.Info) bool { return true }))
+	name = watch.ReaderOf(feedPermits+string(run.ID), r.eligibleRouters(now, func(peer.Info) bool { return true }))
 	return name, r.table.Address(name), name == r.table.Self().Name
 }
 
 // RequestPermits implements services.PermitGrantor: it requests permits from the grantor of an
 // upstream.
-func (r *Router) RequestPermits(ctx context.Context, now time.Time, ask condition.PermitRequest) (condition.Reply, error) {
+func (r *Router) RequestPermits(ctx context.Context, now time.Time, ask condition.PermitRequest) (condition.PermitReply, error) {
 	name, address, self := r.grantor(now, ask.Run)
 	if self {
-		return r.ledger.Give(now, ask), nil
+		return r.ledger.Grant(now, ask), nil
 	}
-	cctx, cancel := context.WithTimeout(ctx, condition.AskTime)
+	cctx, cancel := context.WithTimeout(ctx, condition.PermitTimeout)
 	defer cancel()
-	var reply condition.Reply
+	var reply condition.PermitReply
 	if err := r.opts.Pool.Call(cctx, address, "Router.Permit", ask, &reply); err != nil {
 		r.noteNoReply(peer.Target{Name: name, Address: address}, err)
-		return condition.Reply{}, fmt.Errorf("ask router %s for permits for upstream %s: %w", name, ask.Run.ID, err)
+		return condition.PermitReply{}, fmt.Errorf("ask router %s for permits for upstream %s: %w", name, ask.Run.ID, err)
 	}
 	return reply, nil
 }
 
 // Permit grants permits to another router.
-func (a *API) Permit(ask condition.PermitRequest, reply *condition.Reply) error {
+func (a *API) Permit(ask condition.PermitRequest, reply *condition.PermitReply) error {
 	now := clock.Now()
 	if _, _, self := a.r.grantor(now, ask.Run); !self {
 		*reply = quota.Denied()
 		return nil
 	}
-	*reply = a.r.ledger.Give(now, ask)
+	*reply = a.r.ledger.Grant(now, ask)
 	return nil
 }
--- a/services/entry/permits_test.go
+++ b/services/entry/permits_test.go
@@ -100,7 +100,7 @@
 		t.Errorf("%d permits in %s, want %d or somewhat less", given, last, rate)
 	}
 	for name, r := range routers {
-		var reply condition.Reply
+		var reply condition.PermitReply
 		if err := NewAPI(r).Permit(condition.PermitRequest{Run: run, Limit: limitOf(run, rate).Limit, Wanted: 4}, &reply); err != nil || name != first && reply.Given > 0 {
 			t.Errorf("router %s gives %d permits, error %v", name, reply.Given, err)
 		}
@@ -125,7 +125,7 @@
 	pool := rpc.NewPool()
 	b.Cleanup(func() { pool.Close(); server.Close() })
 	ask := condition.PermitRequest{Run: upstream.Run{ID: "u"}, Limit: limitOf(upstream.Run{}, 1000).Limit, Wanted: 1}
-	var reply condition.Reply
+	var reply condition.PermitReply
 	for b.Loop() {
 		if err := pool.Call(b.Context(), l.Addr().String(), "Router.Permit", ask, &reply); err != nil {
 			b.Fatal(err)
@@ -137,7 +137,7 @@
 // ledgerAPI grants permits from a ledger.
 type ledgerAPI struct{ ledger *quota.Ledger }
 
-func (g *ledgerAPI) Permit(ask condition.PermitRequest, reply *condition.Reply) error {
-	*reply = g.ledger.Give(time.Now(), ask)
+func (g *ledgerAPI) Permit(ask condition.PermitRequest, reply *condition.PermitReply) error {
+	*reply = g.ledger.Grant(time.Now(), ask)
 	return nil
 }
--- a/services/entry/report.go
+++ b/services/entry/report.go
@@ -45,7 +45,7 @@
 	demand := r.opts.Relay.Report(now, g)
 	return balance.ReportReply{
 		List: list.Number, Unstarted: list.PackUnstarted(demand.Unstarted), Wanted: demand.Wanted, Waiting: demand.Waiting, Rate: demand.Rate, Idle: demand.Idle,
-		Most: list.PackMost(demand.Most), Resting: list.PackRanks(demand.Resting),
+		Most: list.PackLimits(demand.Most), Resting: list.PackRanks(demand.Resting),
 	}
 }
 
@@ -58,7 +58,7 @@
 	if report.Authority >= l.Authority {
 		l.Coordinator = Coordinator{Group: report.ID, Service: service.ID(report.Service), Authority: report.Authority, Address: report.Coordinator}
 	}
-	if list, ok := report.Carried(); ok {
+	if list, ok := report.IncludedList(); ok {
 		l.list = list
 	}
 	l.reportedAt, l.last = now, statusOf(report)
--- a/services/entry/return_test.go
+++ b/services/entry/restore_test.go
@@ -260,7 +260,7 @@
 			return from, ok
 		},
 		era:      func() services.Era { return r.extent().Era },
-		isReader: func(time.Time) bool { return watch.Reader(feedCatalogs, r.d.reaching(r)) == r.name },
+		isReader: func(time.Time) bool { return watch.ReaderOf(feedCatalogs, r.d.reaching(r)) == r.name },
 		notify:   r.triggerGossip,
 		onRead:   func(error) {},
 		pull:     r.ask,
--- a/services/expertswitch/coordinator.go
+++ b/services/expertswitch/coordinator.go
@@ -105,8 +105,8 @@
 // States returns the states that the ranks reported in their last answers.
 func (c *Coordinator) States() map[group.Rank]services.EngineState { return c.states }
 
-// Seen records a ballot that another process uses.
-func (c *Coordinator) Seen(b Ballot) { c.highestSeen = max(c.highestSeen, b) }
+// ObserveBallot records a ballot that another process uses.
+func (c *Coordinator) ObserveBallot(b Ballot) { c.highestSeen = max(c.highestSeen, b) }
 
 // Start begins a round that completes or aborts an earlier coordinator's round and then proposes a
 // map. With a nil map it proposes nothing. The proposal gets its version from the ballot.
--- a/services/expertswitch/explore_test.go
+++ b/services/expertswitch/explore_test.go
@@ -234,7 +234,7 @@
 func (x *explorer) recoverGroup() error {
 	c := x.newCoordinator(0)
 	for _, a := range x.agents {
-		c.Seen(a.Promised())
+		c.ObserveBallot(a.Promised())
 	}
 	x.coords = []*Coordinator{c}
 	x.inFlight, x.pending = nil, make([]*pendingOrder, exploreRanks)
--- a/services/knowledge/proof_test.go
+++ b/services/knowledge/proof_test.go
@@ -15,7 +15,9 @@
 // newer version proves it, but not in the seconds after the store was restored from a copy, in
 // which the operator may still write lost records again.
 func TestCatalogProof(t *testing.T) {
-	at := func(era services.Era, o services.Offset) services.Position { return services.Position{Era: era, Offset: o} }
+	at := func(era services.Era, o services.Offset) services.Position {
+		return services.Position{Era: era, Offset: o}
+	}
 	ms := func(n int) time.Time { return begin.Add(time.Duration(n) * time.Millisecond) }
 	type step struct {
 		now     int
--- a/services/knowledge/return_test.go
+++ b/services/knowledge/restore_test.go
@@ -16,7 +16,9 @@
 // TestCatalogAfterRestore applies reads and updates from other routers, in the orders in which they
 // may arrive, after the store was restored from a copy.
 func TestCatalogAfterRestore(t *testing.T) {
-	at := func(era services.Era, o services.Offset) services.Position { return services.Position{Era: era, Offset: o} }
+	at := func(era services.Era, o services.Offset) services.Position {
+		return services.Position{Era: era, Offset: o}
+	}
 	segment := func(whole bool, from, next services.Position, ms int, versions ...catalog.Version) Segment[catalog.Catalog] {
 		p := Segment[catalog.Catalog]{Whole: whole, From: from, Next: next, AsOf: begin.Add(time.Duration(ms) * time.Millisecond)}
 		for _, v := range versions {
@@ -83,7 +85,9 @@
 // TestUpstreamsAfterRestore restores the store from a copy that lists upstreams as they were before
 // they left, arrived or restarted.
 func TestUpstreamsAfterRestore(t *testing.T) {
-	at := func(era services.Era, o services.Offset) services.Position { return services.Position{Era: era, Offset: o} }
+	at := func(era services.Era, o services.Offset) services.Position {
+		return services.Position{Era: era, Offset: o}
+	}
 	const ready, leaving = upstream.StateReady, upstream.StateLeaving
 	type changes = []services.Change[upstream.Instance]
 	up := func(id string, born upstream.Born, address string, state upstream.State, place services.Position) services.Change[upstream.Instance] {
--- a/services/membership/message.go
+++ b/services/membership/message.go
@@ -28,8 +28,8 @@
 // Heartbeat returns the time between two heartbeats.
 func (i Interval) Heartbeat() time.Duration { return time.Duration(i) }
 
-// SuspectAfter returns the time without a heartbeat after which a process is suspect and gets no new
-// work.
+// SuspectAfter returns the time without a heartbeat after which a process is suspect and gets no
+// new work.
 func (i Interval) SuspectAfter() time.Duration { return 5 * time.Duration(i) }
 
 // ProofMaxAge returns the maximum age of an agent's last proof of liveness at which a router
--- a/services/once/explore_test.go
+++ b/services/once/explore_test.go
@@ -60,7 +60,7 @@
 }
 
 type simRouter struct {
-	reg          *Register
+	reg          *SentKeys
 	disconnected bool
 	contact      time.Time
 	// view is the owner that this router knows.
--- a/services/once/record.go
+++ b/services/once/record.go
@@ -64,14 +64,14 @@
 // take of the slice since Window.
 type Take struct {
 	Slice request.KeySlice `json:"slice"`
-	Prev  Epoch         `json:"prev"`
+	Prev  Epoch            `json:"prev"`
 }
 
 // Claim records that the owner of a slice may run a key.
 type Claim struct {
 	Slice request.KeySlice `json:"slice"`
-	Epoch Epoch         `json:"epoch"`
-	Key   KeyID         `json:"key"`
+	Epoch Epoch            `json:"epoch"`
+	Key   KeyID            `json:"key"`
 }
 
 // Record is one entry of a service's journal.
--- a/services/once/register.go
+++ b/services/once/register.go
@@ -17,9 +17,9 @@
 	Slice   request.KeySlice
 }
 
-// Register holds the keys that a router sent to owners while it could not reach the log.
+// SentKeys holds the keys that a router sent to owners while it could not reach the log.
 // It does no I/O and reads no clock.
-type Register struct {
+type SentKeys struct {
 	lifetime time.Duration
 	// floor holds the lowest epoch to which this router still sends.
 	floor map[SliceKey]Epoch
@@ -27,8 +27,8 @@
 }
 
 // NewRegister returns an empty register that keeps keys for lifetime.
-func NewRegister(lifetime time.Duration) *Register {
-	return &Register{lifetime: lifetime, floor: map[SliceKey]Epoch{}, sent: map[SliceKey]map[KeyID]time.Time{}}
+func NewRegister(lifetime time.Duration) *SentKeys {
+	return &SentKeys{lifetime: lifetime, floor: map[SliceKey]Epoch{}, sent: map[SliceKey]map[KeyID]time.Time{}}
 }
 
 // ErrOldOwner reports an owner that has been replaced by a newer one.
@@ -38,10 +38,10 @@
 	return fmt.Sprintf("owner of epoch %d was replaced, the lowest valid epoch is %d", e.Have, e.Floor)
 }
 
-// AdmitSend must be called before a request is sent to the owner of an epoch. It returns an ErrOldOwner
-// if the request must not be sent. If logOut is set, the log is unreachable and the key is
-// recorded.
-func (r *Register) AdmitSend(now time.Time, k SliceKey, epoch Epoch, key KeyID, logOut bool) error {
+// AdmitSend must be called before a request is sent to the owner of an epoch. It returns an
+// ErrOldOwner if the request must not be sent. If logOut is set, the log is unreachable and the key
+// is recorded.
+func (r *SentKeys) AdmitSend(now time.Time, k SliceKey, epoch Epoch, key KeyID, logOut bool) error {
 	if epoch < r.floor[k] {
 		return ErrOldOwner{Have: epoch, Floor: r.floor[k]}
 	}
@@ -56,10 +56,10 @@
 }
 
 // RaiseFloor sets the lowest valid epoch of a slice, unless it is higher already.
-func (r *Register) RaiseFloor(k SliceKey, epoch Epoch) { r.floor[k] = max(r.floor[k], epoch) }
+func (r *SentKeys) RaiseFloor(k SliceKey, epoch Epoch) { r.floor[k] = max(r.floor[k], epoch) }
 
 // Floors returns the lowest valid epochs for a router that has just started.
-func (r *Register) Floors() map[SliceKey]Epoch {
+func (r *SentKeys) Floors() map[SliceKey]Epoch {
 	out := make(map[SliceKey]Epoch, len(r.floor))
 	for k, e := range r.floor {
 		out[k] = e
@@ -67,9 +67,9 @@
 	return out
 }
 
-// FenceAndListKeys returns the keys of a slice that were sent without the log. From then on, no request is
-// sent to an owner with a lower epoch.
-func (r *Register) FenceAndListKeys(now time.Time, k SliceKey, epoch Epoch) []KeyID {
+// FenceAndListKeys returns the keys of a slice that were sent without the log. From then on, no
+// request is sent to an owner with a lower epoch.
+func (r *SentKeys) FenceAndListKeys(now time.Time, k SliceKey, epoch Epoch) []KeyID {
 	r.RaiseFloor(k, epoch)
 	var keys []KeyID
 	for id, at := range r.sent[k] {
@@ -83,7 +83,7 @@
 }
 
 // Empty reports whether there is no unexpired key that was sent without the log.
-func (r *Register) Empty(now time.Time) bool {
+func (r *SentKeys) Empty(now time.Time) bool {
 	for _, keys := range r.sent {
 		for _, at := range keys {
 			if now.Sub(at) <= r.lifetime {
--- a/services/once/service.go
+++ b/services/once/service.go
@@ -39,8 +39,8 @@
 type Peers interface {
 	// Handover asks the owner of a slice for its table.
 	Handover(ctx context.Context, owner Owner, s request.KeySlice) (Table, error)
-	// CollectUnjournaledKeys asks every router for the keys it sent without the log. complete is false if a router
-	// that may have sent some could not be asked.
+	// CollectUnjournaledKeys asks every router for the keys it sent without the log. complete is false
+	// if a router that may have sent some could not be asked.
 	CollectUnjournaledKeys(ctx context.Context, s request.KeySlice, epoch Epoch) (keys []KeyID, complete bool)
 }
 
--- a/services/peer/watermark.go
+++ b/services/peer/watermark.go
@@ -6,9 +6,9 @@
 // Position numbers the changes of a state that a process publishes.
 type Position uint64
 
-// Mark is a watermark in the changes of a state that a process publishes. Start identifies that
-// state: a process that restarts has another one.
-type Mark struct {
+// Watermark is a watermark in the changes of a state that a process publishes. Start identifies
+// that state: a process that restarts has another one.
+type Watermark struct {
 	Start    uint64
 	Position Position
 }
--- a/services/protocol.go
+++ b/services/protocol.go
@@ -63,7 +63,7 @@
 	// ID is the request that is answered; empty if it is not given.
 	ID        request.ID
 	Execution Execution
-	// Notice is the upstream's report of its own state. With ExecutionStranger it is from a
+	// Notice is the upstream's report of its own state. With ExecutionMisdirected it is from a
 	// different upstream than the addressed one.
 	Notice upstream.Notice
 }
@@ -78,8 +78,8 @@
 	ParseAnswer(status int, h http.Header) UpstreamAnswer
 	// CallerHeader returns the header for the caller.
 	CallerHeader(h http.Header) http.Header
-	// RefusalHeader returns the header of an answer from the router itself. after is the time after which
-	// the caller may retry, or 0.
+	// RefusalHeader returns the header of an answer from the router itself. after is the time after
+	// which the caller may retry, or 0.
 	RefusalHeader(id request.ID, after time.Duration) http.Header
 }
 
@@ -87,5 +87,5 @@
 // routers together.
 type PermitGrantor interface {
 	// RequestPermits requests permits. If it returns an error, none were granted.
-	RequestPermits(ctx context.Context, now time.Time, ask condition.PermitRequest) (condition.Reply, error)
+	RequestPermits(ctx context.Context, now time.Time, ask condition.PermitRequest) (condition.PermitReply, error)
 }
--- a/services/quarantine/quarantine.go
+++ b/services/quarantine/quarantine.go
@@ -78,5 +78,5 @@
 	Until time.Time
 }
 
-// Finished is the duration of a run that was answered completely: longer than any other run.
-const Finished = time.Duration(1<<63 - 1)
+// CompletedRun is the duration of a run that was answered completely: longer than any other run.
+const CompletedRun = time.Duration(1<<63 - 1)
--- a/services/quarantine/register.go
+++ b/services/quarantine/register.go
@@ -61,8 +61,10 @@
 	return &Register{start: uint64(max(now.UnixNano(), 1)), records: map[Key]*record{}, runs: map[Key]run{}}
 }
 
-// Mark returns the register's current watermark.
-func (r *Register) Mark() peer.Mark { return peer.Mark{Start: r.start, Position: r.position} }
+// Watermark returns the register's current watermark.
+func (r *Register) Watermark() peer.Watermark {
+	return peer.Watermark{Start: r.start, Position: r.position}
+}
 
 // Add adds a crash that this router has seen or another one has reported. It reports whether the
 // register changed.
@@ -119,9 +121,10 @@
 	return known.lasted - clearMargin
 }
 
-// Ran records that an upstream kept running while it ran a request, and for how long its answer has
-// been arriving; Finished if the answer is complete. It reports whether that clears a crash.
-func (r *Register) Ran(now time.Time, k Key, lasted time.Duration) bool {
+// RecordRun records that an upstream kept running while it ran a request, and for how long its
+// answer has been arriving; CompletedRun if the answer is complete. It reports whether that clears
+// a crash.
+func (r *Register) RecordRun(now time.Time, k Key, lasted time.Duration) bool {
 	if known := r.runs[k]; lasted >= known.lasted || now.Sub(known.at) > runRetention {
 		r.runs[k] = run{lasted: lasted, at: now}
 	}
@@ -210,9 +213,9 @@
 	return true
 }
 
-// Since returns the crashes that changed after a watermark of this register, or all of them for a
-// watermark of another register.
-func (r *Register) Since(now time.Time, m peer.Mark) []Crash {
+// ChangedSince returns the crashes that changed after a watermark of this register, or all of them
+// for a watermark of another register.
+func (r *Register) ChangedSince(now time.Time, m peer.Watermark) []Crash {
 	if m.Start != r.start {
 		m.Position = 0
 	}
--- a/services/quarantine/register_test.go
+++ b/services/quarantine/register_test.go
@@ -55,9 +55,9 @@
 		"it ran at all that ended together": {[]step{{crash: "a", ran: second}, {crash: "b", ran: second}, {crash: "c", ran: second}}, second, StandingWatched},
 		"and so it did again":               {[]step{{crash: "a", ran: second}, {crash: "b", ran: second}, {at: 5 * second, crash: "c", ran: second}}, 6 * second, StandingRefused},
 		"the same end told again":           {[]step{{crash: "a"}, {at: second, crash: "a"}, {at: 2 * second, crash: "a"}}, 3 * second, StandingFree},
-		"an answer clears all before":       {[]step{{crash: "a"}, {at: 5 * second, crash: "b"}, {at: 6 * second, survived: true, lasted: Finished}, {at: 9 * second, crash: "c"}}, 10 * second, StandingFree},
-		"an answer clears what comes soon":  {[]step{{survived: true, lasted: Finished}, {crash: "a"}, {at: 5 * second, crash: "b"}, {at: 9 * second, crash: "c"}}, 10 * second, StandingFree},
-		"but not for long":                  {[]step{{survived: true, lasted: Finished}, {at: 61 * second, crash: "a"}, {at: 65 * second, crash: "b"}, {at: 69 * second, crash: "c"}}, 70 * second, StandingRefused},
+		"an answer clears all before":       {[]step{{crash: "a"}, {at: 5 * second, crash: "b"}, {at: 6 * second, survived: true, lasted: CompletedRun}, {at: 9 * second, crash: "c"}}, 10 * second, StandingFree},
+		"an answer clears what comes soon":  {[]step{{survived: true, lasted: CompletedRun}, {crash: "a"}, {at: 5 * second, crash: "b"}, {at: 9 * second, crash: "c"}}, 10 * second, StandingFree},
+		"but not for long":                  {[]step{{survived: true, lasted: CompletedRun}, {at: 61 * second, crash: "a"}, {at: 65 * second, crash: "b"}, {at: 69 * second, crash: "c"}}, 70 * second, StandingRefused},
 		"a longer run clears":               {[]step{{crash: "a", lasted: second}, {at: 5 * second, crash: "b", lasted: second}, {at: 6 * second, survived: true, lasted: 2 * second}}, 7 * second, StandingFree},
 		"a run as long does not":            {[]step{{crash: "a", lasted: second}, {at: 5 * second, crash: "b", lasted: second}, {at: 6 * second, survived: true, lasted: second}}, 7 * second, StandingWatched},
 		"after some time it is watched":     {[]step{{crash: "a"}, {at: 5 * second, crash: "b"}, {at: 9 * second, crash: "c"}}, 9*second + refusalDuration, StandingWatched},
@@ -69,7 +69,7 @@
 			k := Key{Account: "x", Digest: 1}
 			for _, s := range c.steps {
 				if s.survived {
-					r.Ran(testStart.Add(s.at), k, s.lasted)
+					r.RecordRun(testStart.Add(s.at), k, s.lasted)
 					continue
 				}
 				key := k
@@ -96,15 +96,15 @@
 		chance := rand.New(rand.NewPCG(seed, 0))
 		now := testStart
 		var all [3]*Register
-		var seen [3][3]peer.Mark
+		var seen [3][3]peer.Watermark
 		for i := range all {
 			all[i] = NewRegister(now.Add(time.Duration(i)))
 		}
 		tell := func(from, to int) {
-			for _, c := range all[from].Since(now, seen[to][from]) {
+			for _, c := range all[from].ChangedSince(now, seen[to][from]) {
 				all[to].Add(now, c)
 			}
-			seen[to][from] = all[from].Mark()
+			seen[to][from] = all[from].Watermark()
 		}
 		for i := range 60 {
 			now = now.Add(time.Duration(chance.IntN(2000)) * time.Millisecond)
@@ -114,7 +114,7 @@
 				all[at].Add(now, Crash{Key: k, Run: upstream.Run{ID: upstream.ID(fmt.Sprint(i))}, Ran: 100 * time.Millisecond})
 			case 1:
 				if chance.IntN(4) == 0 {
-					all[at].Ran(now, k, Finished)
+					all[at].RecordRun(now, k, CompletedRun)
 				}
 			default:
 				tell(at, chance.IntN(3))
@@ -144,16 +144,16 @@
 	for i := range 2 * maxKeys {
 		now := testStart.Add(time.Duration(i) * time.Millisecond)
 		r.Add(now, Crash{Key: Key{Digest: request.Digest(i)}, Run: upstream.Run{ID: "a"}})
-		r.Ran(now, Key{Digest: request.Digest(10*maxKeys + i)}, Finished)
+		r.RecordRun(now, Key{Digest: request.Digest(10*maxKeys + i)}, CompletedRun)
 	}
 	now := testStart.Add(time.Hour / 60)
-	if got := len(r.Since(now, peer.Mark{Start: 1, Position: 1 << 40})); got != maxKeys {
+	if got := len(r.ChangedSince(now, peer.Watermark{Start: 1, Position: 1 << 40})); got != maxKeys {
 		t.Errorf("%d crash records for a watermark of another register, want %d", got, maxKeys)
 	}
 	if len(r.runs) > maxRuns {
 		t.Errorf("%d runs are kept, want %d at most", len(r.runs), maxRuns)
 	}
-	if got := r.Since(now, r.Mark()); len(got) != 0 {
+	if got := r.ChangedSince(now, r.Watermark()); len(got) != 0 {
 		t.Errorf("%d crash records although none has changed", len(got))
 	}
 }
--- a/services/quota/ledger.go
+++ b/services/quota/ledger.go
@@ -59,10 +59,10 @@
 
 // Denied is the reply of a router that is not the permit grantor of an upstream. It also stands for
 // a missing reply: while routers join or leave, they may briefly disagree on the grantor.
-func Denied() condition.Reply { return condition.Reply{Again: deniedRetryAfter} }
+func Denied() condition.PermitReply { return condition.PermitReply{Again: deniedRetryAfter} }
 
-// Give replies to a request for permits.
-func (l *Ledger) Give(now time.Time, ask condition.PermitRequest) condition.Reply {
+// Grant replies to a request for permits.
+func (l *Ledger) Grant(now time.Time, ask condition.PermitRequest) condition.PermitReply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a, ok := l.accounts[ask.Run]
@@ -72,8 +72,8 @@
 	}
 	a.refill(now)
 	// The request was under way for at most the time that its sender waits for the reply.
-	a.limit = a.limit.Merge(ask.Limit.At(now.Add(-condition.AskTime), now))
-	reply := condition.Reply{Limit: a.limit.Told(now)}
+	a.limit = a.limit.Merge(ask.Limit.ToLimit(now.Add(-condition.PermitTimeout), now))
+	reply := condition.PermitReply{Limit: a.limit.Wire(now)}
 	switch granted := int(min(a.saved, float64(ask.Wanted))); {
 	case !a.limit.Named:
 		reply.Given, a.saved = ask.Wanted, 0
--- a/services/quota/ledger_test.go
+++ b/services/quota/ledger_test.go
@@ -41,7 +41,7 @@
 			const last = 100 * time.Second
 			l, given, most := NewLedger(), 0, 0
 			for at := time.Duration(0); at < last; at += c.every {
-				n := l.Give(begin.Add(at), ask(c.rate, c.wanted)).Given
+				n := l.Grant(begin.Add(at), ask(c.rate, c.wanted)).Given
 				given, most = given+n, max(most, n)
 			}
 			if got := float64(given) / last.Seconds(); got > c.want*1.01 || got < c.want*0.85 {
@@ -58,11 +58,11 @@
 // granted them already.
 func TestBegin(t *testing.T) {
 	l := NewLedger()
-	r := l.Give(begin, ask(1, 1))
+	r := l.Grant(begin, ask(1, 1))
 	if r.Given != 0 || r.Again != time.Second {
 		t.Errorf("granted %d, retry after %s, want a permit after a second", r.Given, r.Again)
 	}
-	if r := l.Give(begin.Add(r.Again), ask(1, 1)); r.Given != 1 {
+	if r := l.Grant(begin.Add(r.Again), ask(1, 1)); r.Given != 1 {
 		t.Errorf("granted %d after a second, want 1", r.Given)
 	}
 }
@@ -72,7 +72,7 @@
 func TestRetryTimes(t *testing.T) {
 	l, retryTimes := NewLedger(), map[time.Duration]int{}
 	for range 100 {
-		retryTimes[l.Give(begin, ask(2, 1)).Again]++
+		retryTimes[l.Grant(begin, ask(2, 1)).Again]++
 	}
 	for after := 500 * time.Millisecond; after < maxRetryAfter; after += 500 * time.Millisecond {
 		if retryTimes[after] != 1 {
@@ -88,20 +88,20 @@
 // applies again.
 func TestEnded(t *testing.T) {
 	l := NewLedger()
-	l.Give(begin, ask(1, 1))
+	l.Grant(begin, ask(1, 1))
 	end := condition.PermitRequest{Run: upstream.Run{ID: "u"}, Limit: condition.WireLimit{Known: true}}
 	old := ask(1, 1)
 	old.Limit.SentAge, old.Limit.HeardAge = 2*time.Second, 2*time.Second
-	if r := l.Give(begin.Add(100*time.Millisecond), end); !r.Limit.Named {
+	if r := l.Grant(begin.Add(100*time.Millisecond), end); !r.Limit.Named {
 		t.Error("an end that may be older than the limit has ended it")
 	}
-	if r := l.Give(begin.Add(time.Second), end); r.Limit.Named || r.Given != 0 {
+	if r := l.Grant(begin.Add(time.Second), end); r.Limit.Named || r.Given != 0 {
 		t.Errorf("the limit is in force after its end, or %d permits were granted without a request for any", r.Given)
 	}
-	if r := l.Give(begin.Add(time.Second), old); r.Limit.Named || r.Given != 1 {
+	if r := l.Grant(begin.Add(time.Second), old); r.Limit.Named || r.Given != 1 {
 		t.Errorf("a router with an old record of the limit got: limit in force %t, %d permits; want false, 1", r.Limit.Named, r.Given)
 	}
-	if r := l.Give(begin.Add(3*time.Second), ask(1, 1)); !r.Limit.Named || r.Given != 0 {
+	if r := l.Grant(begin.Add(3*time.Second), ask(1, 1)); !r.Limit.Named || r.Given != 0 {
 		t.Errorf("the limit is in force again: %t, want true; %d permits were granted, want 0", r.Limit.Named, r.Given)
 	}
 }
@@ -109,7 +109,7 @@
 // TestSweep checks that unused accounts are dropped.
 func TestSweep(t *testing.T) {
 	l := NewLedger()
-	l.Give(begin, ask(1, 1))
+	l.Grant(begin, ask(1, 1))
 	l.Sweep(begin.Add(unusedRetention))
 	l.Sweep(begin.Add(unusedRetention + 1))
 	if n := len(l.accounts); n != 0 {
@@ -117,13 +117,13 @@
 	}
 }
 
-// ExampleLedger_Give shows a router that gets a permit, and one that gets a retry time.
-func ExampleLedger_Give() {
+// ExampleLedger_Grant shows a router that gets a permit, and one that gets a retry time.
+func ExampleLedger_Grant() {
 	l := NewLedger()
 	question := condition.PermitRequest{Run: upstream.Run{ID: "i-1"}, Limit: condition.WireLimit{Known: true, Named: true, Rate: 2}, Wanted: 1}
-	l.Give(begin, question)
-	fmt.Println(l.Give(begin.Add(time.Second), question).Given)
-	fmt.Println(l.Give(begin.Add(time.Second), question).Again)
+	l.Grant(begin, question)
+	fmt.Println(l.Grant(begin.Add(time.Second), question).Given)
+	fmt.Println(l.Grant(begin.Add(time.Second), question).Again)
 	// Output:
 	// 1
 	// 250ms
--- a/services/rank/members_test.go
+++ b/services/rank/members_test.go
@@ -79,7 +79,9 @@
 	return services.Position{}, false, nil
 }
 
-func (s *outStore) LastClaimant(context.Context, string, services.Position) (string, error) { return "", nil }
+func (s *outStore) LastClaimant(context.Context, string, services.Position) (string, error) {
+	return "", nil
+}
 
 func (s *outStore) PutNodes(context.Context, []peer.Info) error { return nil }
 
--- a/services/rank/rank_test.go
+++ b/services/rank/rank_test.go
@@ -375,7 +375,9 @@
 // later claim are above all of an earlier one, also where the store was restored from a copy and
 // assigns the same offset again.
 func TestFences(t *testing.T) {
-	at := func(era services.Era, o services.Offset) services.Position { return services.Position{Era: era, Offset: o} }
+	at := func(era services.Era, o services.Offset) services.Position {
+		return services.Position{Era: era, Offset: o}
+	}
 	claims := []services.Position{at(0, 1), at(0, 2), at(0, 1<<20-1), at(1, 1), at(1, 7), at(2, 1), at(2, 7), at(2, 8), at(2047, 1)}
 	for i := 1; i < len(claims); i++ {
 		before, after := election.AuthorityAt(claims[i-1]), election.AuthorityAt(claims[i])
--- a/services/rank/report.go
+++ b/services/rank/report.go
@@ -57,7 +57,7 @@
 	g := c.load(now)
 	c.latest.Store(&g)
 	targets := c.book.Targets(now, c.routers)
-	number, slots := c.book.Report(now, targets, g.Ranks, c.bounds(g))
+	number, slots := c.book.StartReport(now, targets, g.Ranks, c.bounds(g))
 	for _, n := range targets {
 		routerLoad := g
 		routerLoad.Places = slots[n.Name]
@@ -71,7 +71,7 @@
 				c.logger.Debug().Str("router", n.Name).Err(err).Msg("router-silent")
 				return
 			}
-			c.book.Answered(clock.Now(), n, number, list, r)
+			c.book.RecordReply(clock.Now(), n, number, list, r)
 		})
 	}
 }
@@ -119,7 +119,7 @@
 // skew returns the skew of the map in use.
 func (c *coordinator) skew() float64 {
 	if c.planner == nil || c.planner.skew == 0 {
-		return balance.FirstSkew
+		return balance.InitialMapSkew
 	}
 	return c.planner.skew
 }
--- a/services/relay/admit.go
+++ b/services/relay/admit.go
@@ -90,11 +90,11 @@
 
 // admissionRequest describes a request to the admission queue. The caller holds the lock.
 func (r *Relay) admissionRequest(now time.Time, svc *serviceState, x *exchange) *admission.Request {
-	a := balance.Ask{Routers: r.routers, Exclude: x.tried}
+	a := balance.PickOptions{Routers: r.routers, Exclude: x.tried}
 	if s := r.state.Index().Service(x.service); s != nil && s.Engine != nil {
 		a.Engine = s.Engine
 		a.Bounds = balance.GroupBounds(s.Engine, svc.pool.GroupLoad(now), x.route.PauseGoal)
-		a.Leaderless = balance.GroupBounds(s.Engine, balance.GroupLoad{Skew: balance.FirstSkew}, x.route.PauseGoal)
+		a.Leaderless = balance.GroupBounds(s.Engine, balance.GroupLoad{Skew: balance.InitialMapSkew}, x.route.PauseGoal)
 	}
 	return &admission.Request{Route: x.route.Name, Goal: x.route.Goal, Arrived: x.arrived, Deadline: x.deadline, Patience: x.meta.Patience, Timeout: x.route.Timeout, Ask: a, Waited: x.waitedUnsent}
 }
@@ -113,7 +113,7 @@
 	if svc.queue.Waiting() == 0 {
 		return
 	}
-	for _, g := range svc.queue.Wake(now, r.state.Usable(now, svc.service)) {
+	for _, g := range svc.queue.Admit(now, r.state.Usable(now, svc.service)) {
 		svc.ready[g.Request] <- g.Upstream
 		delete(svc.ready, g.Request)
 	}
--- a/services/relay/attempt.go
+++ b/services/relay/attempt.go
@@ -149,7 +149,7 @@
 		return nil, balance.ResultUnreached, fmt.Errorf("connect to upstream %s: %w", u.ID, err)
 	}
 	if res, err := x.authorize(ctx, u); err != nil {
-		x.r.conns.Give(clock.Now(), conn, unusedIdleTimeout)
+		x.r.conns.Put(clock.Now(), conn, unusedIdleTimeout)
 		return nil, res, err
 	}
 	a := &answer{upstream: u, conn: conn, began: clock.Now()}
@@ -226,7 +226,7 @@
 		a.drop()
 		return
 	}
-	p.Give(clock.Now(), a.conn, rest)
+	p.Put(clock.Now(), a.conn, rest)
 }
 
 // deliver passes an answer on, or returns false if another upstream should be tried.
@@ -318,7 +318,7 @@
 		x.recordBreak(ctx, a, err)
 		return nil, false
 	}
-	x.r.recordRun(clock.Now(), x.key(), quarantine.Finished)
+	x.r.recordRun(clock.Now(), x.key(), quarantine.CompletedRun)
 	a.reuseConn(x.r.conns)
 	x.r.release(x.service, a.upstream, res, clock.Since(a.began), a.started)
 	return &completeAnswer{upstream: a.upstream.ID, status: a.resp.StatusCode, header: x.r.opts.Protocol.CallerHeader(a.resp.Header), body: body}, true
--- a/services/relay/authorize.go
+++ b/services/relay/authorize.go
@@ -33,8 +33,8 @@
 type localPermits struct{ ledger *quota.Ledger }
 
 // RequestPermits implements services.PermitGrantor.
-func (a localPermits) RequestPermits(_ context.Context, now time.Time, ask condition.PermitRequest) (condition.Reply, error) {
-	return a.ledger.Give(now, ask), nil
+func (a localPermits) RequestPermits(_ context.Context, now time.Time, ask condition.PermitRequest) (condition.PermitReply, error) {
+	return a.ledger.Grant(now, ask), nil
 }
 
 // authorize decides right before a request is sent whether it may be sent. The state that was used
@@ -105,7 +105,7 @@
 }
 
 // logPermit logs that a request was not permitted, or that the permit grantor could not be reached.
-func (r *Relay) logPermit(x *exchange, u upstream.Instance, ask condition.PermitRequest, reply condition.Reply, took time.Duration, err error) {
+func (r *Relay) logPermit(x *exchange, u upstream.Instance, ask condition.PermitRequest, reply condition.PermitReply, took time.Duration, err error) {
 	if reply.Given > 0 {
 		return // the log line of the request names the upstream
 	}
@@ -122,10 +122,10 @@
 func (r *Relay) notifyLimitEnded(u upstream.Instance, x *exchange) {
 	now := clock.Now()
 	r.mu.Lock()
-	ask := condition.PermitRequest{Run: u.Run(), Limit: r.serviceState(now, x.service).pool.Conditions().Limit(u.Run()).Told(now)}
+	ask := condition.PermitRequest{Run: u.Run(), Limit: r.serviceState(now, x.service).pool.Conditions().Limit(u.Run()).Wire(now)}
 	permits := r.permits
 	r.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), condition.AskTime)
+	ctx, cancel := context.WithTimeout(context.Background(), condition.PermitTimeout)
 	defer cancel()
 	if _, err := permits.RequestPermits(ctx, now, ask); err != nil {
 		r.opts.Logger.Info().Str("upstream", string(u.ID)).Err(err).Msg("limit-end-not-told")
--- a/services/relay/crashes.go
+++ b/services/relay/crashes.go
@@ -95,7 +95,7 @@
 // survived.
 func (r *Relay) recordRun(now time.Time, k quarantine.Key, lasted time.Duration) {
 	r.mu.Lock()
-	cleared := r.crashes.Ran(now, k, lasted)
+	cleared := r.crashes.RecordRun(now, k, lasted)
 	r.mu.Unlock()
 	if cleared {
 		r.opts.Logger.Info().Str("account", string(k.Account)).Stringer("digest", k.Digest).Int64("lasted_ms", lasted.Milliseconds()).Msg("request-cleared")
--- a/services/relay/crashes_test.go
+++ b/services/relay/crashes_test.go
@@ -27,7 +27,7 @@
 // crashes returns the crashes in a relay's register.
 func crashes(r *Relay) []quarantine.Crash {
 	var out []quarantine.Crash
-	r.WithCrashes(func(g *quarantine.Register) { out = g.Since(time.Now(), peer.Mark{}) })
+	r.WithCrashes(func(g *quarantine.Register) { out = g.ChangedSince(time.Now(), peer.Watermark{}) })
 	return out
 }
 
--- a/services/relay/handler.go
+++ b/services/relay/handler.go
@@ -271,7 +271,7 @@
 	case x.mayRun:
 		outcome = "failed"
 	}
-	x.r.opts.Metrics.Request(string(x.service), outcome, string(reason), took, x.attempts)
+	x.r.opts.Metrics.ObserveRequest(string(x.service), outcome, string(reason), took, x.attempts)
 	x.stream.log(event, x.arrived)
 	event.Str("request", string(x.meta.ID)).Stringer("digest", x.digest).Int("status", status).Str("reason", string(reason)).
 		Str("service", string(x.service)).Str("upstream", string(x.last)).Int("attempts", x.attempts).
--- a/services/relay/limits.go
+++ b/services/relay/limits.go
@@ -21,10 +21,10 @@
 }
 
 // LimitWatermark returns the watermark of the limits that the router has a record of.
-func (r *Relay) LimitWatermark() peer.Mark {
+func (r *Relay) LimitWatermark() peer.Watermark {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := peer.Mark{Start: r.start}
+	m := peer.Watermark{Start: r.start}
 	for _, svc := range r.pools {
 		m.Position += peer.Position(svc.pool.Conditions().Changes())
 	}
@@ -39,7 +39,7 @@
 	var out []NamedLimit
 	for id, svc := range r.pools {
 		for run, limit := range svc.pool.Conditions().Limits() {
-			out = append(out, NamedLimit{Service: id, Run: run, Limit: limit.Told(now)})
+			out = append(out, NamedLimit{Service: id, Run: run, Limit: limit.Wire(now)})
 		}
 	}
 	return out
@@ -63,7 +63,7 @@
 	if index := r.state.Index(); index == nil || index.Service(n.Service) == nil {
 		return nil
 	}
-	return r.serviceState(now, n.Service).pool.Conditions().Learn(n.Run, n.Limit.At(asked, now))
+	return r.serviceState(now, n.Service).pool.Conditions().Learn(n.Run, n.Limit.ToLimit(asked, now))
 }
 
 // logLearned logs the changes that another router's report of a limit has caused.
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// Leave records when the process was ordered to stop.
-func (r *Relay) Leave(now time.Time) {
+// StartLeaving records when the process was ordered to stop.
+func (r *Relay) StartLeaving(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = now
@@ -184,7 +184,7 @@
 	svc := r.serviceState(now, id)
 	unstarted := svc.pool.Report(now, g, ids)
 	r.wake(now, svc)
-	most, resting := svc.pool.Most(now, ids)
+	most, resting := svc.pool.SendLimits(now, ids)
 	return RouterLoad{
 		Unstarted: unstarted, Wanted: svc.queue.Wanted(now), Waiting: svc.queue.Waiting(), Rate: svc.queue.Rate(now), Idle: len(unstarted) == 0 && svc.queue.Idle(now),
 		Most: most, Resting: resting,
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -417,7 +417,7 @@
 func TestStopRequested(t *testing.T) {
 	f := newFake(t, func(_ int, h map[string]string, c net.Conn) { writeAnswer(c, h["Id"], "ok") })
 	s, r := start(t, f)
-	r.Leave(time.Now().Add(-streamGrace - time.Second))
+	r.StartLeaving(time.Now().Add(-streamGrace - time.Second))
 	if status, _, body, _ := get(t.Context(), t, s, "/safe/x", nil); status != 200 || body != "ok" {
 		t.Errorf("status %d, body %q", status, body)
 	}
--- a/services/relay/stream.go
+++ b/services/relay/stream.go
@@ -70,7 +70,7 @@
 	err := x.relayEvents(a)
 	switch {
 	case err == nil:
-		x.r.recordRun(clock.Now(), x.key(), quarantine.Finished)
+		x.r.recordRun(clock.Now(), x.key(), quarantine.CompletedRun)
 		a.reuseConn(x.r.conns)
 		x.r.release(x.service, a.upstream, balance.ResultOK, clock.Since(a.began), a.started)
 		x.finish(http.StatusOK, ReasonAnswered)
--- a/services/routing/bench_test.go
+++ b/services/routing/bench_test.go
@@ -271,12 +271,12 @@
 }
 
 func (s *stepAware) sent(now time.Time, r int) {
-	s.t.Sent(now, id(r))
+	s.t.RequestSent(now, id(r))
 	s.t.StreamStarted(now, id(r))
 }
 
 func (s *stepAware) done(now time.Time, r int) {
-	s.t.Done(now, id(r))
+	s.t.RequestDone(now, id(r))
 	s.t.StreamEnded(id(r))
 }
 func (s *stepAware) token(now time.Time, r int) { s.t.Progress(now, id(r)) }
--- a/services/routing/pick_test.go
+++ b/services/routing/pick_test.go
@@ -36,7 +36,7 @@
 		for i, n := range rapid.SliceOfN(rapid.IntRange(0, 40), 1, 8).Draw(t, "work") {
 			cands = append(cands, Candidate{Upstream: id(i)})
 			for range n {
-				tr.Sent(epoch, id(i))
+				tr.RequestSent(epoch, id(i))
 			}
 			tr.Report(id(i), Report{At: epoch.Add(time.Second), Work: n, Concurrency: 16})
 			work[id(i)] = n
@@ -64,7 +64,7 @@
 			}
 		}, 3 * time.Second},
 		"a group whose streams have stopped": {func(tr *Tracker) {
-			tr.Sent(epoch, id(1))
+			tr.RequestSent(epoch, id(1))
 			tr.StreamStarted(epoch, id(1))
 		}, 300 * time.Millisecond},
 	}
--- a/services/routing/tracker.go
+++ b/services/routing/tracker.go
@@ -26,7 +26,8 @@
 	Work int
 	// Concurrency is the number of requests that the upstream processes at a time.
 	Concurrency int
-	// Step is the group's step count and StepTime the mean duration of its latest steps; 0 for plain services.
+	// Step is the group's step count and StepTime the mean duration of its latest steps; 0 for plain
+	// services.
 	Step     group.Step
 	StepTime time.Duration
 }
@@ -111,11 +112,11 @@
 	tr.changes = slices.DeleteFunc(tr.changes, func(m change) bool { return m.at.Before(r.At) })
 }
 
-// Sent records a request that this router sends to an upstream.
-func (t *Tracker) Sent(now time.Time, id upstream.ID) { t.record(now, id, 1) }
+// RequestSent records a request that this router sends to an upstream.
+func (t *Tracker) RequestSent(now time.Time, id upstream.ID) { t.record(now, id, 1) }
 
-// Done records the end of a request that this router had sent.
-func (t *Tracker) Done(now time.Time, id upstream.ID) { t.record(now, id, -1) }
+// RequestDone records the end of a request that this router had sent.
+func (t *Tracker) RequestDone(now time.Time, id upstream.ID) { t.record(now, id, -1) }
 
 func (t *Tracker) record(now time.Time, id upstream.ID, delta int) {
 	tr := t.track(id)
--- a/services/services.go
+++ b/services/services.go
@@ -62,7 +62,8 @@
 // records written after the backup, and their offsets are assigned again.
 type Era uint64
 
-// Position is a position in a stream of the platform's store. Offsets of different eras are unrelated.
+// Position is a position in a stream of the platform's store. Offsets of different eras are
+// unrelated.
 type Position struct {
 	Era    Era
 	Offset Offset
@@ -90,7 +91,7 @@
 	Snapshot(ctx context.Context) ([]Change[T], Position, error)
 	// Changes returns the changes from a position on, and the next position. If there are none yet,
 	// it waits up to wait. It returns an ErrTrimmed if some of the changes are no longer kept, and
-	// an ErrReturned if the position is not from the store's current era.
+	// an ErrEraChanged if the position is not from the store's current era.
 	Changes(ctx context.Context, from Position, wait time.Duration) ([]Change[T], Position, error)
 }
 
--- a/services/watch/watch.go
+++ b/services/watch/watch.go
@@ -42,10 +42,10 @@
 	return Times{Wait: time.Duration(waitFraction * float64(within)), Own: time.Duration(ownReadFraction * float64(within))}
 }
 
-// Reader returns the router that reads a feed, given the routers that are alive and reach the
+// ReaderOf returns the router that reads a feed, given the routers that are alive and reach the
 // store, or "" if there are none. Routers with the same list choose the same reader (rendezvous
 // hashing); feeds are spread over the routers.
-func Reader(feed string, routers []string) string {
+func ReaderOf(feed string, routers []string) string {
 	var best string
 	var maxScore uint64
 	for _, name := range routers {
@@ -57,8 +57,8 @@
 	return best
 }
 
-// Reading is a router's state of a feed and of its own reads of it.
-type Reading struct {
+// FeedState is a router's state of a feed and of its own reads of it.
+type FeedState struct {
 	// Known reports whether the feed was read or received since the start.
 	Known bool
 	// AsOf is the latest time at which the state was known to be current.
@@ -82,7 +82,7 @@
 // Next returns the time of the router's next read of the feed. A router whose reads fail keeps
 // retrying even while it receives updates from others, so that it learns when the store is
 // reachable again.
-func (t Times) Next(now time.Time, r Reading) time.Time {
+func (t Times) Next(now time.Time, r FeedState) time.Time {
 	switch {
 	case r.Failures > 0:
 		return r.Tried.Add(backoff(r.Failures))
--- a/services/watch/watch_test.go
+++ b/services/watch/watch_test.go
@@ -17,26 +17,26 @@
 	times := NewTimes(2 * time.Second)
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
 	cases := map[string]struct {
-		reading Reading
+		reading FeedState
 		now     time.Time
 		want    time.Time
 	}{
-		"no state yet":                        {Reading{}, at(0), at(0)},
-		"the reader reads again at once":      {Reading{Known: true, AsOf: at(0), Mine: true}, at(10), at(10)},
-		"others wait for the reader":          {Reading{Known: true, AsOf: at(0)}, at(10), at(1500)},
-		"others read if the reader is silent": {Reading{Known: true, AsOf: at(0)}, at(1600), at(1500)},
-		"others read if they are behind":      {Reading{Known: true, AsOf: at(0), Behind: true}, at(10), at(10)},
-		"restarted feed, others wait":         {Reading{Known: true, AsOf: at(0), Anew: at(2200)}, at(1700), at(2200)},
-		"restarted feed, reader reads":        {Reading{Known: true, AsOf: at(0), Anew: at(2200), Mine: true}, at(1700), at(1700)},
-		"restarted feed, not received":        {Reading{Known: true, AsOf: at(0), Anew: at(2200), Behind: true}, at(2200), at(2200)},
-		"first read at once":                  {Reading{}, at(10), at(10)},
-		"start waits for others":              {Reading{Mine: true, Patient: at(400)}, at(10), at(400)},
-		"start waits no longer":               {Reading{Patient: at(400)}, at(410), at(410)},
-		"back-off after a failure":            {Reading{Known: true, AsOf: at(0), Mine: true, Failures: 1, Tried: at(500)}, at(500), at(650)},
-		"back-off grows":                      {Reading{Known: true, AsOf: at(0), Failures: 3, Tried: at(500)}, at(500), at(1100)},
-		"back-off is bounded":                 {Reading{Failures: 90, Tried: at(500)}, at(500), at(1700)},
-		"back-off while others send updates":  {Reading{Known: true, AsOf: at(900), Failures: 2, Tried: at(500)}, at(900), at(800)},
-		"back-off without any state":          {Reading{Failures: 1, Tried: at(500)}, at(500), at(650)},
+		"no state yet":                        {FeedState{}, at(0), at(0)},
+		"the reader reads again at once":      {FeedState{Known: true, AsOf: at(0), Mine: true}, at(10), at(10)},
+		"others wait for the reader":          {FeedState{Known: true, AsOf: at(0)}, at(10), at(1500)},
+		"others read if the reader is silent": {FeedState{Known: true, AsOf: at(0)}, at(1600), at(1500)},
+		"others read if they are behind":      {FeedState{Known: true, AsOf: at(0), Behind: true}, at(10), at(10)},
+		"restarted feed, others wait":         {FeedState{Known: true, AsOf: at(0), Anew: at(2200)}, at(1700), at(2200)},
+		"restarted feed, reader reads":        {FeedState{Known: true, AsOf: at(0), Anew: at(2200), Mine: true}, at(1700), at(1700)},
+		"restarted feed, not received":        {FeedState{Known: true, AsOf: at(0), Anew: at(2200), Behind: true}, at(2200), at(2200)},
+		"first read at once":                  {FeedState{}, at(10), at(10)},
+		"start waits for others":              {FeedState{Mine: true, Patient: at(400)}, at(10), at(400)},
+		"start waits no longer":               {FeedState{Patient: at(400)}, at(410), at(410)},
+		"back-off after a failure":            {FeedState{Known: true, AsOf: at(0), Mine: true, Failures: 1, Tried: at(500)}, at(500), at(650)},
+		"back-off grows":                      {FeedState{Known: true, AsOf: at(0), Failures: 3, Tried: at(500)}, at(500), at(1100)},
+		"back-off is bounded":                 {FeedState{Failures: 90, Tried: at(500)}, at(500), at(1700)},
+		"back-off while others send updates":  {FeedState{Known: true, AsOf: at(900), Failures: 2, Tried: at(500)}, at(900), at(800)},
+		"back-off without any state":          {FeedState{Failures: 1, Tried: at(500)}, at(500), at(650)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -61,28 +61,28 @@
 // TestReader checks that all routers choose the same reader, that only the loss of the reader
 // changes the choice, and that the feeds are spread over the routers.
 func TestReader(t *testing.T) {
-	if got := Reader("catalog", nil); got != "" {
+	if got := ReaderOf("catalog", nil); got != "" {
 		t.Errorf("reader %q of an empty list", got)
 	}
 	var routers []string
 	for i := range 40 {
 		routers = append(routers, fmt.Sprintf("front-%d", i))
 	}
-	first := Reader("catalog", routers)
+	first := ReaderOf("catalog", routers)
 	other := slices.Clone(routers)
 	slices.Reverse(other)
-	if got := Reader("catalog", other); got != first {
+	if got := ReaderOf("catalog", other); got != first {
 		t.Errorf("reader %q and, in another order, %q", first, got)
 	}
 	for i, name := range routers {
 		without := slices.Delete(slices.Clone(routers), i, i+1)
-		if got := Reader("catalog", without); (got == first) == (name == first) {
+		if got := ReaderOf("catalog", without); (got == first) == (name == first) {
 			t.Errorf("without %s the reader is %q, with it %q", name, got, first)
 		}
 	}
 	readers := map[string]bool{}
 	for i := range 40 {
-		readers[Reader(fmt.Sprint("feed", i), routers)] = true
+		readers[ReaderOf(fmt.Sprint("feed", i), routers)] = true
 	}
 	if len(readers) < 15 {
 		t.Errorf("40 feeds have %d readers", len(readers))
--- a/standin/metastore/metastore.go
+++ b/standin/metastore/metastore.go
@@ -19,25 +19,25 @@
 	"time"
 )
 
-// Trouble is a fault that the store applies to calls.
-type Trouble string
+// Fault is a fault that the store applies to calls.
+type Fault string
 
 // The kinds of fault.
 const (
-	// TroubleNone answers as usual.
-	TroubleNone Trouble = ""
-	// TroubleBusy answers 503 and does nothing.
-	TroubleBusy Trouble = "busy"
-	// TroubleSilent sends no answer, and keeps the call open until the caller disconnects.
-	TroubleSilent Trouble = "silent"
-	// TroubleLost performs writes, then closes the connection without an answer.
-	TroubleLost Trouble = "lost"
-	// TroubleLate closes the connection at once without an answer, and performs writes after
+	// FaultNone answers as usual.
+	FaultNone Fault = ""
+	// FaultBusy answers 503 and does nothing.
+	FaultBusy Fault = "busy"
+	// FaultNoAnswer sends no answer, and keeps the call open until the caller disconnects.
+	FaultNoAnswer Fault = "silent"
+	// FaultAnswerLost performs writes, then closes the connection without an answer.
+	FaultAnswerLost Fault = "lost"
+	// FaultLateWrite closes the connection at once without an answer, and performs writes after
 	// LateWriteDelay.
-	TroubleLate Trouble = "late"
-	// TroubleSlow sends answers SlowAnswerDelay after they were computed, so that they may be out
+	FaultLateWrite Fault = "late"
+	// FaultSlowAnswer sends answers SlowAnswerDelay after they were computed, so that they may be out
 	// of date.
-	TroubleSlow Trouble = "slow"
+	FaultSlowAnswer Fault = "slow"
 )
 
 const (
@@ -58,7 +58,7 @@
 	mu      sync.Mutex
 	streams map[string]*stream
 	changed chan struct{}
-	trouble Trouble
+	trouble Fault
 	calls   int
 	// era is reported in each answer. It rises by one with each restore from a copy.
 	era uint64
@@ -78,8 +78,8 @@
 // anyOffset makes append add records wherever the stream ends.
 const anyOffset = -1
 
-// Trouble sets the fault that is applied to calls from now on.
-func (s *Store) Trouble(t Trouble) {
+// SetFault sets the fault that is applied to calls from now on.
+func (s *Store) SetFault(t Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.trouble = t
@@ -149,13 +149,13 @@
 	trouble, era := s.trouble, s.era
 	s.mu.Unlock()
 	switch trouble {
-	case TroubleBusy:
+	case FaultBusy:
 		answer{era: era, status: http.StatusServiceUnavailable}.send(w)
 		return
-	case TroubleSilent:
+	case FaultNoAnswer:
 		<-r.Context().Done()
 		return
-	case TroubleLost, TroubleLate, TroubleSlow, TroubleNone:
+	case FaultAnswerLost, FaultLateWrite, FaultSlowAnswer, FaultNone:
 	}
 	topic := r.URL.Query().Get("topic")
 	reply := answer{era: era, status: http.StatusNotFound}
@@ -167,7 +167,7 @@
 	case "/fawnwinch/log-read":
 		reply = s.read(r.Context(), topic, r.URL.Query())
 	}
-	if trouble == TroubleSlow {
+	if trouble == FaultSlowAnswer {
 		select {
 		case <-time.After(SlowAnswerDelay):
 		case <-r.Context().Done():
@@ -201,14 +201,14 @@
 
 // handleAppend adds records and returns an answer with their offset, unless the fault loses the
 // answer.
-func (s *Store) handleAppend(r *http.Request, topic string, trouble Trouble) answer {
+func (s *Store) handleAppend(r *http.Request, topic string, trouble Fault) answer {
 	body, err := io.ReadAll(r.Body)
 	records, ok := splitRecords(body)
 	at := anyOffset
 	if text := r.URL.Query().Get("at"); text != "" {
 		at, err = strconv.Atoi(text)
 	}
-	if trouble == TroubleLate && err == nil && ok {
+	if trouble == FaultLateWrite && err == nil && ok {
 		time.AfterFunc(LateWriteDelay, func() { s.append(topic, records, at) })
 		panic(http.ErrAbortHandler)
 	}
@@ -218,7 +218,7 @@
 		return answer{era: s.era, status: http.StatusBadRequest}
 	}
 	offset, ok := s.appendLocked(topic, records, at)
-	if trouble == TroubleLost {
+	if trouble == FaultAnswerLost {
 		panic(http.ErrAbortHandler)
 	}
 	status, end := http.StatusOK, offset+len(records)
--- a/standin/metastore/copy.go
+++ b/standin/metastore/snapshot.go
@@ -8,23 +8,23 @@
 // firstEra is the era of a store that has never been restored from a copy.
 const firstEra = 0
 
-// Copy is a snapshot of the content of a store.
-type Copy struct{ streams map[string]stream }
+// Snapshot is a snapshot of the content of a store.
+type Snapshot struct{ streams map[string]stream }
 
-// Copy returns a snapshot of the store.
-func (s *Store) Copy() Copy {
+// Snapshot returns a snapshot of the store.
+func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := Copy{streams: map[string]stream{}}
+	c := Snapshot{streams: map[string]stream{}}
 	for topic, st := range s.streams {
 		c.streams[topic] = stream{records: slices.Clone(st.records), first: st.first}
 	}
 	return c
 }
 
-// Return restores the store from a copy: later records are lost, and the era rises by one. Waiting
+// Restore restores the store from a copy: later records are lost, and the era rises by one. Waiting
 // reads are answered from the restored content.
-func (s *Store) Return(c Copy) {
+func (s *Store) Restore(c Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.streams = map[string]*stream{}
--- a/standin/rankgroup/orders.go
+++ b/standin/rankgroup/orders.go
@@ -80,8 +80,8 @@
 	return map[string]any{"map": map[string]any{"version": r.version, "experts": experts}}
 }
 
-// loseAnswer decides at random, by Trouble.Lost, whether an order gets no answer. If so, the order
-// is applied after Trouble.Late, as if the network had delayed it.
+// loseAnswer decides at random, by Faults.Lost, whether an order gets no answer. If so, the order
+// is applied after Faults.Late, as if the network had delayed it.
 func (g *Group) loseAnswer(n int, o order) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/standin/rankgroup/rankgroup.go
+++ b/standin/rankgroup/rankgroup.go
@@ -43,8 +43,8 @@
 	counts  []uint64
 }
 
-// Trouble holds the faults that are applied to orders.
-type Trouble struct {
+// Faults holds the faults that are applied to orders.
+type Faults struct {
 	// Lost is the fraction of orders that get no answer. Each of them is applied after Late.
 	Lost float64
 	Late time.Duration
@@ -60,7 +60,7 @@
 	step        uint64
 	epoch       uint64
 	hotExpert   int
-	trouble     Trouble
+	trouble     Faults
 	mixedPasses int
 	mapChanges  int
 	heldTime    time.Duration
@@ -106,22 +106,22 @@
 	g.done.Wait()
 }
 
-// Like makes one expert of each layer be chosen more often than all others together.
-func (g *Group) Like(expert int) {
+// SetHotExpert makes one expert of each layer be chosen more often than all others together.
+func (g *Group) SetHotExpert(expert int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.hotExpert = expert
 }
 
-// Trouble sets the faults that are applied to orders from now on.
-func (g *Group) Trouble(t Trouble) {
+// SetFaults sets the faults that are applied to orders from now on.
+func (g *Group) SetFaults(t Faults) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.trouble = t
 }
 
-// Seen holds the counters of a group.
-type Seen struct {
+// Stats holds the counters of a group.
+type Stats struct {
 	// Mixed counts the passes that began with different maps, Changes those that began with a new
 	// map.
 	Mixed, Changes int
@@ -132,11 +132,11 @@
 	Held time.Duration
 }
 
-// Seen returns the counters of the group.
-func (g *Group) Seen() Seen {
+// Stats returns the counters of the group.
+func (g *Group) Stats() Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return Seen{Mixed: g.mixedPasses, Changes: g.mapChanges, Passes: g.step, Version: g.ranks[0].version, Held: g.heldTime}
+	return Stats{Mixed: g.mixedPasses, Changes: g.mapChanges, Passes: g.step, Version: g.ranks[0].version, Held: g.heldTime}
 }
 
 // Holds reports whether a rank has a hold in force.
--- a/tests/integration/answers_test.go
+++ b/tests/integration/answers_test.go
@@ -121,10 +121,10 @@
 	}
 }
 
-// TestSentToTwoUpstreamsAtMost makes each upstream close the connection while it runs a request, which may then be
-// sent to two upstreams at most. Without this limit it was sent to four upstreams in turn: a
-// request that crashes the upstreams that run it would have taken a service down with one attempt
-// of its caller.
+// TestSentToTwoUpstreamsAtMost makes each upstream close the connection while it runs a request,
+// which may then be sent to two upstreams at most. Without this limit it was sent to four upstreams
+// in turn: a request that crashes the upstreams that run it would have taken a service down with
+// one attempt of its caller.
 func TestSentToTwoUpstreamsAtMost(t *testing.T) {
 	c := newCluster(t, options{routers: 1, plains: 4})
 	for _, address := range c.plain {
--- a/tests/integration/once_test.go
+++ b/tests/integration/once_test.go
@@ -290,9 +290,9 @@
 	}
 }
 
-// TestUnlistedRouteRetried compares a route that the intent lists as non-repeatable with one that it
-// does not list. A lost answer on the unlisted route doubles the effect, because the router retries
-// the request.
+// TestUnlistedRouteRetried compares a route that the intent lists as non-repeatable with one that
+// it does not list. A lost answer on the unlisted route doubles the effect, because the router
+// retries the request.
 func TestUnlistedRouteRetried(t *testing.T) {
 	c := newCluster(t, options{routers: 1, plains: 2})
 	for _, address := range c.plain {
--- a/tests/integration/platform_feeds_test.go
+++ b/tests/integration/platform_feeds_test.go
@@ -61,7 +61,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			s, routers := threeRouters(t)
-			reader := watch.Reader(catalogFeed, []string{"a", "b", "c"})
+			reader := watch.ReaderOf(catalogFeed, []string{"a", "b", "c"})
 			c.fail(routers[reader])
 			began := time.Now()
 			s.store.Put(operatorStream, "config", operatorConfig(5, "new"))
@@ -103,7 +103,7 @@
 // can verify as current, and must have a change in force soon after the outage.
 func TestStoreOutage(t *testing.T) {
 	s, routers := threeRouters(t)
-	s.store.Trouble(metastore.TroubleBusy)
+	s.store.SetFault(metastore.FaultBusy)
 	for name, n := range routers {
 		eventually(t, "refused keys at "+name, func() bool {
 			status, _, header := post(t.Context(), t, n.front, "/view/x", "k")
@@ -111,7 +111,7 @@
 		})
 	}
 	s.store.Put(operatorStream, "config", operatorConfig(5, "new"))
-	s.store.Trouble(metastore.TroubleNone)
+	s.store.SetFault(metastore.FaultNone)
 	for name, n := range routers {
 		eventually(t, "the new key at "+name, func() bool { status, _, _ := post(t.Context(), t, n.front, "/view/x", "new"); return status == 200 })
 	}
--- a/tests/integration/platform_ranks_test.go
+++ b/tests/integration/platform_ranks_test.go
@@ -55,7 +55,7 @@
 		r.group.Start()
 		t.Cleanup(func() {
 			r.group.Stop()
-			if seen := r.group.Seen(); seen.Mixed != 0 {
+			if seen := r.group.Stats(); seen.Mixed != 0 {
 				t.Errorf("%d of %d passes began with two maps", seen.Mixed, seen.Passes)
 			}
 		})
@@ -126,16 +126,16 @@
 // before.
 func (r *ranks) shiftPopularity() {
 	r.popular = (r.popular + 5) % rankExperts
-	r.group.Like(r.popular)
+	r.group.SetHotExpert(r.popular)
 }
 
 // awaitMaps shifts popularity and waits for a map that follows, as many times as changes says.
 func (r *ranks) awaitMaps(what string, changes int) {
 	r.t.Helper()
 	for range changes {
-		before := r.group.Seen().Changes
+		before := r.group.Stats().Changes
 		r.shiftPopularity()
-		eventually(r.t, what, func() bool { return r.group.Seen().Changes > before })
+		eventually(r.t, what, func() bool { return r.group.Stats().Changes > before })
 	}
 }
 
@@ -145,12 +145,12 @@
 func TestRanks(t *testing.T) {
 	kill := func(p *process) { p.kill(); p.start() }
 	cases := map[string]struct {
-		trouble rankgroup.Trouble
+		trouble rankgroup.Faults
 		// fault is injected at the coordinator between two shifts.
 		fault func(r *ranks)
 	}{
 		"no faults":            {},
-		"lost and late orders": {trouble: rankgroup.Trouble{Lost: 0.3, Late: 400 * time.Millisecond}},
+		"lost and late orders": {trouble: rankgroup.Faults{Lost: 0.3, Late: 400 * time.Millisecond}},
 		"coordinator killed":   {fault: func(r *ranks) { kill(r.coordinator()) }},
 		"coordinator frozen and woken": {fault: func(r *ranks) {
 			p := r.coordinator()
@@ -159,15 +159,15 @@
 			p.signal(syscall.SIGCONT)
 		}},
 		"coordinator killed while it holds the group, with lost orders": {
-			trouble: rankgroup.Trouble{Lost: 0.3, Late: 300 * time.Millisecond},
+			trouble: rankgroup.Faults{Lost: 0.3, Late: 300 * time.Millisecond},
 			fault: func(r *ranks) {
 				p := r.coordinator()
 				for held := false; !held; {
-					before := r.group.Seen().Changes
+					before := r.group.Stats().Changes
 					r.shiftPopularity()
 					eventually(r.t, "a hold or a change", func() bool {
 						held = r.group.Holds()
-						return held || r.group.Seen().Changes > before
+						return held || r.group.Stats().Changes > before
 					})
 				}
 				kill(p)
@@ -179,15 +179,15 @@
 			t.Parallel()
 			r := newRanks(t, 7)
 			r.awaitMaps("a first map", 1)
-			r.group.Trouble(c.trouble)
+			r.group.SetFaults(c.trouble)
 			r.awaitMaps("a map that follows", 2)
 			if c.fault != nil {
 				c.fault(r)
 			}
-			passes := r.group.Seen().Passes
+			passes := r.group.Stats().Passes
 			r.awaitMaps("a map that follows afterwards", 2)
-			eventually(t, "passes", func() bool { return r.group.Seen().Passes > passes+50 })
-			t.Logf("%+v", r.group.Seen())
+			eventually(t, "passes", func() bool { return r.group.Stats().Passes > passes+50 })
+			t.Logf("%+v", r.group.Stats())
 		})
 	}
 }
@@ -210,8 +210,8 @@
 			r.awaitMaps("a map that follows", 1)
 		}
 	}
-	passes := groups[1].group.Seen().Passes
-	eventually(t, "passes", func() bool { return groups[1].group.Seen().Passes > passes+60 })
+	passes := groups[1].group.Stats().Passes
+	eventually(t, "passes", func() bool { return groups[1].group.Stats().Passes > passes+60 })
 	calls, maxCalls := groups[0].calls.Load()-before, maxStoreCalls*2*rankCount*time.Since(began).Seconds()
 	if float64(calls) > maxCalls {
 		t.Errorf("%d calls of the store in %s", calls, time.Since(began))
--- a/tests/integration/platform_return_test.go
+++ b/tests/integration/platform_restore_test.go
@@ -18,38 +18,38 @@
 const nodeStream = "keyed.fawnwinch-nodes"
 
 // restores are ways in which the store is restored from an older copy.
-var restores = map[string]func(s *site, c metastore.Copy){
-	"between two calls": func(s *site, c metastore.Copy) { s.store.Return(c) },
-	"after an outage": func(s *site, c metastore.Copy) {
-		s.store.Trouble(metastore.TroubleBusy)
+var restores = map[string]func(s *site, c metastore.Snapshot){
+	"between two calls": func(s *site, c metastore.Snapshot) { s.store.Restore(c) },
+	"after an outage": func(s *site, c metastore.Snapshot) {
+		s.store.SetFault(metastore.FaultBusy)
 		s.awaitCalls(8)
-		s.store.Return(c)
-		s.store.Trouble(metastore.TroubleNone)
+		s.store.Restore(c)
+		s.store.SetFault(metastore.FaultNone)
 	},
-	"twice": func(s *site, c metastore.Copy) {
-		s.store.Return(c)
+	"twice": func(s *site, c metastore.Snapshot) {
+		s.store.Restore(c)
 		s.awaitCalls(4)
-		s.store.Return(c)
+		s.store.Restore(c)
 	},
-	"twice, between two calls": func(s *site, c metastore.Copy) {
-		s.store.Return(c)
-		s.store.Return(c)
+	"twice, between two calls": func(s *site, c metastore.Snapshot) {
+		s.store.Restore(c)
+		s.store.Restore(c)
 	},
-	"while answers are slow": func(s *site, c metastore.Copy) {
-		s.store.Trouble(metastore.TroubleSlow)
+	"while answers are slow": func(s *site, c metastore.Snapshot) {
+		s.store.SetFault(metastore.FaultSlowAnswer)
 		s.awaitCalls(4)
-		s.store.Return(c)
+		s.store.Restore(c)
 		s.awaitCalls(8)
-		s.store.Trouble(metastore.TroubleNone)
+		s.store.SetFault(metastore.FaultNone)
 	},
-	"and writes are late": func(s *site, c metastore.Copy) {
-		s.store.Trouble(metastore.TroubleLate)
-		s.store.Return(c)
+	"and writes are late": func(s *site, c metastore.Snapshot) {
+		s.store.SetFault(metastore.FaultLateWrite)
+		s.store.Restore(c)
 		s.awaitCalls(12)
-		s.store.Trouble(metastore.TroubleNone)
+		s.store.SetFault(metastore.FaultNone)
 	},
-	"without its history": func(s *site, c metastore.Copy) {
-		s.store.Return(c)
+	"without its history": func(s *site, c metastore.Snapshot) {
+		s.store.Restore(c)
 		s.store.Trim(operatorStream)
 		s.store.Trim(replicaStream)
 	},
@@ -64,9 +64,9 @@
 
 // copyThenChange returns a copy of the store, and then writes configurations that the copy lacks.
 // They remove the only key that the copy lists.
-func (s *site) copyThenChange(routers map[string]*node) metastore.Copy {
+func (s *site) copyThenChange(routers map[string]*node) metastore.Snapshot {
 	s.t.Helper()
-	c := s.store.Copy()
+	c := s.store.Snapshot()
 	s.store.Put(operatorStream, "config", operatorConfig(4, "k", "k4"))
 	s.store.Put(operatorStream, "config", operatorConfig(5, "new"))
 	for name, n := range routers {
@@ -123,13 +123,13 @@
 	}
 }
 
-// TestOldConfigurationsAfterRestore lets the operator write the lost configurations again, one after
-// the other.
+// TestOldConfigurationsAfterRestore lets the operator write the lost configurations again, one
+// after the other.
 func TestOldConfigurationsAfterRestore(t *testing.T) {
 	t.Parallel()
 	s, routers := threeRouters(t)
 	c := s.copyThenChange(routers)
-	s.store.Return(c)
+	s.store.Restore(c)
 	for _, config := range []string{operatorConfig(4, "k", "k4"), operatorConfig(5, "new")} {
 		s.store.Put(operatorStream, "config", config)
 		s.checkKept(routers, 6)
@@ -144,7 +144,7 @@
 		t.Parallel()
 		s, routers := threeRouters(t)
 		c := s.copyThenChange(routers)
-		s.store.Return(c)
+		s.store.Restore(c)
 		routers["d"] = s.router("d", routers["a"].control)
 		s.checkKept(routers, 12)
 		eventually(t, "the key in force at the new router", func() bool {
@@ -160,7 +160,7 @@
 		for _, n := range routers {
 			n.kill()
 		}
-		s.store.Return(c)
+		s.store.Restore(c)
 		for _, n := range routers {
 			n.start()
 		}
@@ -178,7 +178,7 @@
 		t.Parallel()
 		s, routers := threeRouters(t)
 		c := s.copyThenChange(routers)
-		s.store.Return(c)
+		s.store.Restore(c)
 		s.putConfig(routers, 7, "k7", "new")
 		eventually(t, "a settled era in the store", func() bool {
 			for name := range routers {
@@ -224,7 +224,7 @@
 		_, body, _ := post(t.Context(), t, routers["a"].front, "/view/x", "k")
 		return body == "i-2 for seiryu"
 	})
-	c := s.store.Copy()
+	c := s.store.Snapshot()
 	s.store.Put(replicaStream, "i-3", three.entry("ready"))
 	s.store.Put(replicaStream, "i-2", two.entry("draining"))
 	s.store.Put(replicaStream, "i-1", "")
@@ -239,7 +239,7 @@
 		})
 	}
 	before := two.requests.Load()
-	s.store.Return(c)
+	s.store.Restore(c)
 	for first := s.store.Calls(); s.store.Calls() < first+10; {
 		for name, n := range routers {
 			if _, body, _ := post(t.Context(), t, n.front, "/view/x", "k"); body == "i-1 for seiryu" || body == "i-2 for seiryu" {
@@ -268,7 +268,7 @@
 func TestRegistrationAfterRestore(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
-	c := s.store.Copy()
+	c := s.store.Snapshot()
 	rp := newReplica(t, "i-1", nil)
 	s.store.Put(operatorStream, "config", operatorConfig(3, "k"))
 	s.store.Put(replicaStream, "i-1", rp.entry("ready"))
@@ -284,7 +284,7 @@
 	eventually(t, "registered routers", registered)
 	// The list is read at ever longer intervals.
 	s.awaitCalls(24)
-	s.store.Return(c)
+	s.store.Restore(c)
 	began := time.Now()
 	s.store.Put(operatorStream, "config", operatorConfig(3, "k"))
 	s.store.Put(replicaStream, "i-1", rp.entry("ready"))
@@ -305,19 +305,19 @@
 		eventually(t, "another coordinator", func() bool { return r.coordinator() != p })
 		p.start()
 	}
-	cases := map[string]func(r *ranks) metastore.Copy{
-		"with fewer claims": func(r *ranks) metastore.Copy {
-			c := r.store.Copy()
+	cases := map[string]func(r *ranks) metastore.Snapshot{
+		"with fewer claims": func(r *ranks) metastore.Snapshot {
+			c := r.store.Snapshot()
 			changeCoordinator(r)
 			changeCoordinator(r)
 			changeCoordinator(r)
 			return c
 		},
-		"without its agents": func(r *ranks) metastore.Copy {
+		"without its agents": func(r *ranks) metastore.Snapshot {
 			c := metastore.New()
 			c.Put(operatorStream, "config", r.store.Newest(operatorStream, "config"))
 			changeCoordinator(r)
-			return c.Copy()
+			return c.Snapshot()
 		},
 	}
 	for name, lose := range cases {
@@ -325,7 +325,7 @@
 			t.Parallel()
 			r := newRanks(t, 7)
 			r.awaitMaps("a first map", 1)
-			r.store.Return(lose(r))
+			r.store.Restore(lose(r))
 			r.awaitMaps("a map that follows after the restore", 2)
 			p := r.coordinator()
 			p.kill()
@@ -339,13 +339,13 @@
 	}
 }
 
-// TestStatusAfterRestore checks that operators see a restore of the store at each router: in its log
-// and in its status.
+// TestStatusAfterRestore checks that operators see a restore of the store at each router: in its
+// log and in its status.
 func TestStatusAfterRestore(t *testing.T) {
 	t.Parallel()
 	s, routers := threeRouters(t)
 	c := s.copyThenChange(routers)
-	s.store.Return(c)
+	s.store.Restore(c)
 	s.putConfig(routers, 7, "k7", "new")
 	for name, n := range routers {
 		eventually(t, "the restore in the log of "+name, func() bool {
--- a/tests/integration/platform_test.go
+++ b/tests/integration/platform_test.go
@@ -269,8 +269,8 @@
 		}
 	})
 	t.Run("a router starts while the store is out", func(t *testing.T) {
-		s.store.Trouble(metastore.TroubleBusy)
-		defer s.store.Trouble(metastore.TroubleNone)
+		s.store.SetFault(metastore.FaultBusy)
+		defer s.store.SetFault(metastore.FaultNone)
 		b := s.router("b", a.control)
 		eventually(t, "a request served by it", func() bool { status, _, _ := post(t.Context(), t, b.front, "/peek/x", "k"); return status == 200 })
 		eventually(t, "refused keys that cannot be verified as current", func() bool {
--- a/tests/replay/crash_test.go
+++ b/tests/replay/crash_test.go
@@ -86,7 +86,7 @@
 	queue      eventQueue
 	seq        int
 	routers    [crashRouters]*quarantine.Register
-	watermarks [crashRouters][crashRouters]peer.Mark
+	watermarks [crashRouters][crashRouters]peer.Watermark
 	ranks      [crashRanks]*crashRank
 	started    int
 	// openAt is the time from which the group serves again.
@@ -164,8 +164,8 @@
 func (w *crashWorld) gossip() {
 	for from, r := range w.routers {
 		to := w.rng.IntN(crashRouters)
-		updates := r.Since(w.time(), w.watermarks[to][from])
-		w.watermarks[to][from] = r.Mark()
+		updates := r.ChangedSince(w.time(), w.watermarks[to][from])
+		w.watermarks[to][from] = r.Watermark()
 		w.after(5*time.Millisecond, func() {
 			for _, c := range updates {
 				w.routers[to].Add(w.time(), c)
@@ -230,7 +230,7 @@
 		}
 		run.done = true
 		w.served++
-		w.routers[router].Ran(w.time(), w.key(content), quarantine.Finished)
+		w.routers[router].RecordRun(w.time(), w.key(content), quarantine.CompletedRun)
 	})
 }
 
@@ -276,7 +276,7 @@
 			}
 			run.done = true
 			if lasted := w.answerTime(run); lasted > 0 {
-				w.after(time.Second, func() { w.routers[run.router].Ran(w.time(), w.key(run.content), lasted) })
+				w.after(time.Second, func() { w.routers[run.router].RecordRun(w.time(), w.key(run.content), lasted) })
 			}
 			w.retry(run.content, run.retries)
 		}
--- a/tests/replay/limit_test.go
+++ b/tests/replay/limit_test.go
@@ -126,7 +126,7 @@
 // start starts a router that knows other routers but no upstream states.
 func (w *limitWorld) start(r *limitRouter, known []string) {
 	r.pool = balance.NewPool("")
-	r.pool.DrawBy(w.rand.Float64)
+	r.pool.SetRandom(w.rand.Float64)
 	r.queue, r.ledger, r.knownRouters = admission.NewQueue(r.pool), quota.NewLedger(), known
 	r.waiting, r.learnedAt, r.frozenUntil = map[*admission.Request]*limitCaller{}, map[upstream.Run]time.Time{}, time.Time{}
 	r.seenChanges = map[*limitRouter]uint64{}
@@ -179,7 +179,7 @@
 				from := w.now
 				w.on(r, networkDelay, func() {
 					for run, limit := range limits {
-						r.pool.Conditions().Learn(run, limit.Told(from).At(askedAt, w.now))
+						r.pool.Conditions().Learn(run, limit.Wire(from).ToLimit(askedAt, w.now))
 					}
 				})
 			})
@@ -202,7 +202,7 @@
 	const callerTimeout = 4 * time.Second
 	x := &admission.Request{
 		Route: "r", Goal: 300 * time.Millisecond, Arrived: c.arrived, Deadline: c.arrived.Add(callerTimeout), Patience: callerTimeout, Timeout: callerTimeout,
-		Ask: balance.Ask{Routers: len(r.knownRouters)}, Waited: c.waited,
+		Ask: balance.PickOptions{Routers: len(r.knownRouters)}, Waited: c.waited,
 	}
 	v := r.queue.Arrive(w.now, x, w.ups)
 	switch v.Outcome {
@@ -227,7 +227,7 @@
 }
 
 func (w *limitWorld) wake(r *limitRouter) {
-	for _, g := range r.queue.Wake(w.now, w.ups) {
+	for _, g := range r.queue.Admit(w.now, w.ups) {
 		c := r.waiting[g.Request]
 		delete(r.waiting, g.Request)
 		w.forward(c, r, g.Upstream)
@@ -259,7 +259,7 @@
 	w.permitRequests++
 	askedAt, ask := w.now, r.pool.Conditions().Ask(w.now, u.Run())
 	answered := false
-	answer := func(reply condition.Reply) {
+	answer := func(reply condition.PermitReply) {
 		if answered {
 			return
 		}
@@ -271,16 +271,16 @@
 		r.pool.Done(w.now, u.Run(), balance.ResultUnsent, 0, false)
 		w.decide(c, r)
 	}
-	name := watch.Reader("permits/"+string(u.ID), r.knownRouters)
+	name := watch.ReaderOf("permits/"+string(u.ID), r.knownRouters)
 	grantor := w.routers[slices.IndexFunc(w.routers, func(o *limitRouter) bool { return o.name == name })]
 	w.on(grantor, networkDelay, func() {
 		reply := quota.Denied()
-		if watch.Reader("permits/"+string(u.ID), grantor.knownRouters) == grantor.name {
-			reply = grantor.ledger.Give(w.now, ask)
+		if watch.ReaderOf("permits/"+string(u.ID), grantor.knownRouters) == grantor.name {
+			reply = grantor.ledger.Grant(w.now, ask)
 		}
 		w.on(r, networkDelay, func() { answer(reply) })
 	})
-	w.on(r, condition.AskTime, func() { answer(quota.Denied()) })
+	w.on(r, condition.PermitTimeout, func() { answer(quota.Denied()) })
 }
 
 // send sends a request to an upstream, which answers it.
@@ -404,7 +404,7 @@
 
 // grantor returns the permit grantor for the first upstream.
 func (w *limitWorld) grantor() *limitRouter {
-	name := watch.Reader("permits/u0", routerNames(w.routers))
+	name := watch.ReaderOf("permits/u0", routerNames(w.routers))
 	return w.routers[slices.IndexFunc(w.routers, func(r *limitRouter) bool { return r.name == name })]
 }
 
--- a/tests/replay/play_test.go
+++ b/tests/replay/play_test.go
@@ -170,7 +170,7 @@
 	seq         int
 	// engines are the models of the groups, and books the load records of their coordinators.
 	engines []*engine
-	books   []*balance.Book
+	books   []*balance.RouterRegistry
 	routers []*router
 	ups     []upstream.Instance
 	ids     map[string]upstream.Run
@@ -189,7 +189,7 @@
 func play(p pattern, choose policy) result {
 	w := &world{
 		p: p, rand: rand.New(rand.NewPCG(p.seed, 7)), arrivalRand: rand.New(rand.NewPCG(p.seed, 8)), begin: time.Unix(1000, 0), now: time.Unix(1000, 0), choose: choose,
-		ids: map[string]upstream.Run{}, ledger: quota.NewLedger(), leaderless: balance.GroupBounds(p.params, balance.GroupLoad{Skew: balance.FirstSkew}, pauseGoal),
+		ids: map[string]upstream.Run{}, ledger: quota.NewLedger(), leaderless: balance.GroupBounds(p.params, balance.GroupLoad{Skew: balance.InitialMapSkew}, pauseGoal),
 	}
 	w.createGroups()
 	for i := range p.ranks {
@@ -199,7 +199,7 @@
 	}
 	for i := range p.routers {
 		pool := balance.NewPool("")
-		pool.DrawBy(rand.New(rand.NewPCG(p.seed, uint64(i)+100)).Float64)
+		pool.SetRandom(rand.New(rand.NewPCG(p.seed, uint64(i)+100)).Float64)
 		r := &router{name: fmt.Sprint("r", i), pool: pool, queue: admission.NewQueue(pool), waiting: map[*admission.Request]*caller{}, inFlight: make([]int, p.ranks), lists: make([]balance.RankList, len(w.engines))}
 		r.budget = balance.NewBudget(w.now, 0.2, 5*float64(p.ranks), 10*time.Second, p.routers)
 		w.routers = append(w.routers, r)
@@ -236,7 +236,7 @@
 		}
 		pace := func(rank int, at time.Duration) float64 { return w.p.pace(g*size+rank, at) }
 		w.engines = append(w.engines, &engine{params: w.p.params, queue: w.p.queue, ranks: make([]engineRank, size), skew: skew, pace: pace})
-		w.books = append(w.books, balance.NewBook(1))
+		w.books = append(w.books, balance.NewRouterRegistry(1))
 	}
 }
 
@@ -324,8 +324,8 @@
 }
 
 // askFor returns what a request requires of the ranks.
-func (w *world) askFor(r *router, tried map[upstream.ID]bool) balance.Ask {
-	return balance.Ask{
+func (w *world) askFor(r *router, tried map[upstream.ID]bool) balance.PickOptions {
+	return balance.PickOptions{
 		Engine: w.p.params, Routers: len(w.routers), Exclude: tried,
 		Bounds:     balance.GroupBounds(w.p.params, r.pool.GroupLoad(w.now), pauseGoal),
 		Leaderless: w.leaderless,
@@ -374,7 +374,7 @@
 	run, conditions := w.ups[s.rank].Run(), s.router.pool.Conditions()
 	askedAt, ask := w.now, conditions.Ask(w.now, run)
 	w.after(2*networkDelay, func() {
-		if p, _ := conditions.Answered(askedAt, w.now, run, w.ledger.Give(w.now, ask)); p == condition.PermissionGiven {
+		if p, _ := conditions.Answered(askedAt, w.now, run, w.ledger.Grant(w.now, ask)); p == condition.PermissionGiven {
 			w.arriveAt(c, s, tried)
 			return
 		}
@@ -505,7 +505,7 @@
 
 // wake sends the waiting requests that a router now has room for.
 func (w *world) wake(r *router) {
-	for _, g := range r.queue.Wake(w.now, w.ups) {
+	for _, g := range r.queue.Admit(w.now, w.ups) {
 		if c, ok := r.waiting[g.Request]; ok {
 			delete(r.waiting, g.Request)
 			w.send(c, r, w.rankOf(g.Upstream), map[upstream.ID]bool{})
@@ -529,7 +529,7 @@
 	}
 	bounds := balance.GroupBounds(w.p.params, g.Load(), pauseGoal)
 	targets := book.Targets(w.now, w.infos)
-	number, allotments := book.Report(w.now, targets, g.Ranks, &bounds)
+	number, allotments := book.StartReport(w.now, targets, g.Ranks, &bounds)
 	for _, n := range targets {
 		r := w.routers[w.indexOf(n.Name)]
 		groupReport := g
@@ -550,7 +550,7 @@
 
 // receiveReport makes a router process a report on a group and reply to it.
 func (w *world) receiveReport(index int, r *router, n peer.Info, number uint64, report balance.Report, list balance.RankList) {
-	if l, ok := report.Carried(); ok {
+	if l, ok := report.IncludedList(); ok {
 		r.lists[index] = l
 	}
 	var reply balance.ReportReply
@@ -559,11 +559,11 @@
 		w.wake(r)
 		reply = balance.ReportReply{List: r.lists[index].Number, Unstarted: r.lists[index].PackUnstarted(unstarted), Wanted: r.queue.Wanted(w.now), Waiting: r.queue.Waiting(), Rate: r.queue.Rate(w.now), Idle: r.queue.Idle(w.now)}
 		if !w.p.withoutSendLimits {
-			sendLimits, backingOff := r.pool.Most(w.now, w.ids)
-			reply.Most, reply.Resting = r.lists[index].PackMost(sendLimits), r.lists[index].PackRanks(backingOff)
+			sendLimits, backingOff := r.pool.SendLimits(w.now, w.ids)
+			reply.Most, reply.Resting = r.lists[index].PackLimits(sendLimits), r.lists[index].PackRanks(backingOff)
 		}
 	}
-	w.after(networkDelay, func() { w.books[index].Answered(w.now, n, number, list, reply) })
+	w.after(networkDelay, func() { w.books[index].RecordReply(w.now, n, number, list, reply) })
 }
 
 // leastInFlight sends each request to the rank with the fewest requests in flight from the router.
--- a/tests/soak/final_test.go
+++ b/tests/soak/final_test.go
@@ -31,7 +31,7 @@
 // checkFinal makes the checks that need the complete soak. Nothing was disturbed from quietSince
 // on.
 func (w *world) checkFinal(quietSince time.Time) {
-	if seen := w.group.Seen(); seen.Mixed > 0 {
+	if seen := w.group.Stats(); seen.Mixed > 0 {
 		w.fail("%d of %d passes began with two maps", seen.Mixed, seen.Passes)
 	}
 	w.checkRetries()
@@ -161,5 +161,5 @@
 	if float64(served) < minServedFraction*float64(all) || all == 0 {
 		w.fail("%d of %d calls are served after the last fault", served, all)
 	}
-	w.t.Logf("%d calls, %d of %d served after the last fault; %+v", len(w.ended), served, all, w.group.Seen())
+	w.t.Logf("%d calls, %d of %d served after the last fault; %+v", len(w.ended), served, all, w.group.Stats())
 }
--- a/tests/soak/plan_test.go
+++ b/tests/soak/plan_test.go
@@ -77,18 +77,18 @@
 		w.agents[rng.IntN(len(w.agents))].freeze(duration)
 	}},
 	{"orders are lost and carried out late while demand shifts", 4, func(w *world, rng *rand.Rand, duration time.Duration) {
-		w.group.Trouble(rankgroup.Trouble{Lost: 0.4, Late: duration / 2})
+		w.group.SetFaults(rankgroup.Faults{Lost: 0.4, Late: duration / 2})
 		for end := time.Now().Add(2 * duration); time.Now().Before(end); pause(demandShiftInterval) {
-			w.group.Like(rng.IntN(12))
+			w.group.SetHotExpert(rng.IntN(12))
 		}
-		w.group.Trouble(rankgroup.Trouble{})
+		w.group.SetFaults(rankgroup.Faults{})
 	}},
-	{"demand shifts", 4, func(w *world, rng *rand.Rand, _ time.Duration) { w.group.Like(rng.IntN(12)) }},
+	{"demand shifts", 4, func(w *world, rng *rand.Rand, _ time.Duration) { w.group.SetHotExpert(rng.IntN(12)) }},
 	{"the store is in trouble", 3, func(w *world, rng *rand.Rand, duration time.Duration) {
 		defer w.storeDisturbances.begin()()
-		w.store.Trouble([]metastore.Trouble{metastore.TroubleBusy, metastore.TroubleSilent, metastore.TroubleLost}[rng.IntN(3)])
+		w.store.SetFault([]metastore.Fault{metastore.FaultBusy, metastore.FaultNoAnswer, metastore.FaultAnswerLost}[rng.IntN(3)])
 		pause(duration)
-		w.store.Trouble(metastore.TroubleNone)
+		w.store.SetFault(metastore.FaultNone)
 	}},
 	{"the store trims its streams", 1, func(w *world, _ *rand.Rand, _ time.Duration) {
 		w.store.Trim(operatorStream)
--- a/tests/soak/return_test.go
+++ b/tests/soak/return_test.go
@@ -17,19 +17,19 @@
 // restoreStore restores the store from a copy that is as old as the duration of the fault. It
 // restores immediately or after an outage, once or twice, and with writes or answers in progress.
 func (w *world) restoreStore(rng *rand.Rand, duration time.Duration) {
-	c := w.store.Copy()
+	c := w.store.Snapshot()
 	pause(duration)
 	defer w.storeDisturbances.begin()()
-	trouble := []metastore.Trouble{metastore.TroubleNone, metastore.TroubleBusy, metastore.TroubleSilent, metastore.TroubleSlow, metastore.TroubleLate}[rng.IntN(5)]
-	if trouble != metastore.TroubleNone {
-		w.store.Trouble(trouble)
+	trouble := []metastore.Fault{metastore.FaultNone, metastore.FaultBusy, metastore.FaultNoAnswer, metastore.FaultSlowAnswer, metastore.FaultLateWrite}[rng.IntN(5)]
+	if trouble != metastore.FaultNone {
+		w.store.SetFault(trouble)
 		pause(duration / 2)
 	}
-	w.store.Return(c)
-	w.store.Trouble(metastore.TroubleNone)
+	w.store.Restore(c)
+	w.store.SetFault(metastore.FaultNone)
 	if rng.IntN(3) == 0 {
 		pause(duration / 4)
-		w.store.Return(c)
+		w.store.Restore(c)
 	}
 	pause(time.Duration(rng.Int64N(int64(maxRewriteDelay))))
 	w.rewrite()
