--- a/services/balance/pool.go
+++ b/services/balance/pool.go
@@ -82,9 +82,9 @@
 	// started and ended count this router's answers that have begun and ended since the report.
 	started, ended int
 	report         RankLoad
-	// places is the number of requests that the report still allows this router to send. allotted
-	// reports whether the report sets places at all.
-	places   int
+	// slots is the number of requests that the report still allows this router to send. allotted
+	// reports whether the report sets slots at all.
+	slots    int
 	allotted bool
 	// group is the rank's group, set by the first report.
 	group group.ID
@@ -275,7 +275,7 @@
 // report would send where all others do.
 func (s *state) room(now time.Time, load, others float64, limit int) bool {
 	switch {
-	case s.allotted && s.reported(now) && s.places > 0:
+	case s.allotted && s.reported(now) && s.slots > 0:
 		return true
 	case s.allotted && s.fresh(now):
 		return false
@@ -349,7 +349,7 @@
 	s := p.state(id)
 	s.inFlight++
 	s.unstarted++
-	s.places--
+	s.slots--
 }
 
 // Started records that the answer to an attempt has begun.
@@ -368,7 +368,7 @@
 	if started {
 		// This router may reuse the slot of a stream that has ended until the next report.
 		s.ended++
-		s.places++
+		s.slots++
 	} else {
 		s.unstarted--
 	}
--- a/services/balance/time_to_accept.go
+++ b/services/balance/time_to_accept.go
@@ -14,25 +14,25 @@
 // SendLimits returns the limits on requests to some upstreams until the next report, from the
 // conditions that they report, and the upstreams that have asked this router to back off. Addresses
 // maps upstream addresses to runs. Upstreams without a limit are left out.
-func (p *Pool) SendLimits(now time.Time, addresses map[string]upstream.Run) (most SendLimits, resting []string) {
+func (p *Pool) SendLimits(now time.Time, addresses map[string]upstream.Run) (limits SendLimits, backingOff []string) {
 	if p.conditions.Empty() {
 		return nil, nil
 	}
-	most = SendLimits{}
+	limits = SendLimits{}
 	for address, run := range addresses {
 		kind, wait := p.conditions.Judge(now, run)
 		switch {
 		case wait > 0:
-			most[address] = 0
+			limits[address] = 0
 		case kind == condition.KindLimited:
-			most[address] = p.conditions.Held(now, run)
+			limits[address] = p.conditions.Held(now, run)
 		}
 		if kind == condition.KindResting {
-			resting = append(resting, address)
+			backingOff = append(backingOff, address)
 		}
 	}
-	slices.Sort(resting)
-	return most, resting
+	slices.Sort(backingOff)
+	return limits, backingOff
 }
 
 // TimeToAccept forecasts how long it takes until upstreams accept a number of requests, from the
--- a/services/entry/coverage_test.go
+++ b/services/entry/coverage_test.go
@@ -29,15 +29,15 @@
 // ranksOf returns the addresses of the ranks of a group.
 func ranksOf(g group.ID) []string { return []string{string(g) + "-0", string(g) + "-1"} }
 
-// place returns a position in a store that was never restored from a copy.
-func place(o services.Offset) services.Position { return services.Position{Offset: o} }
+// position returns a position in a store that was never restored from a copy.
+func position(o services.Offset) services.Position { return services.Position{Offset: o} }
 
 // knowGroups gives a router the catalog of a service with model groups, and the ranks of those
 // groups.
 func knowGroups(now time.Time, rl *relay.Relay, groups ...group.ID) {
 	rl.WithState(func(s *knowledge.State) {
 		c := catalog.Catalog{Version: 1, Services: []catalog.Service{{ID: "m", Engine: &catalog.Engine{Slots: 4}}, {ID: "plain"}}}
-		s.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(1), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
+		s.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: position(1), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
 		var ups []services.Change[upstream.Instance]
 		for _, g := range groups {
 			for _, address := range ranksOf(g) {
@@ -45,7 +45,7 @@
 				ups = append(ups, services.Change[upstream.Instance]{Key: address, Value: &u})
 			}
 		}
-		s.ApplyUpstreams(now, knowledge.Segment[upstream.Instance]{Whole: true, Next: place(1), AsOf: now, Changes: ups})
+		s.ApplyUpstreams(now, knowledge.Segment[upstream.Instance]{Whole: true, Next: position(1), AsOf: now, Changes: ups})
 	})
 }
 
--- a/services/entry/entry_test.go
+++ b/services/entry/entry_test.go
@@ -74,13 +74,13 @@
 	change := func(k string) []services.Change[int] { return []services.Change[int]{{Key: k, Value: &one}} }
 	reads := []read[int]{
 		{whole: true, err: errors.New("store is out")},
-		{whole: true, changes: change("a"), next: place(4)},
-		{from: place(4), changes: change("b"), next: place(5)},
-		{from: place(5), err: errors.New("store is out")},
-		{from: place(5), next: place(5)},
-		{from: place(5), err: services.ErrTrimmed{From: place(5)}},
-		{whole: true, changes: change("c"), next: place(9)},
-		{from: place(9), next: place(9)},
+		{whole: true, changes: change("a"), next: position(4)},
+		{from: position(4), changes: change("b"), next: position(5)},
+		{from: position(5), err: errors.New("store is out")},
+		{from: position(5), next: position(5)},
+		{from: position(5), err: services.ErrTrimmed{From: position(5)}},
+		{whole: true, changes: change("c"), next: position(9)},
+		{from: position(9), next: position(9)},
 	}
 	s := &script[int]{reads: make(chan read[int], len(reads))}
 	for _, r := range reads {
@@ -122,7 +122,7 @@
 	if want := []string{"a*", "b", "", "c*", ""}; !slices.Equal(got, want) || len(failures) != 2 || errors.Is(failures[1], errWrongRead) {
 		t.Errorf("took %q, want %q; failures %v", got, want, failures)
 	}
-	if !slices.Equal(notified, []services.Position{place(4), place(5), place(9)}) {
+	if !slices.Equal(notified, []services.Position{position(4), position(5), position(9)}) {
 		t.Errorf("notified the others at %v, want one notification for each advance", notified)
 	}
 }
@@ -134,7 +134,7 @@
 	s := &script[int]{reads: make(chan read[int])}
 	ctx, cancel := context.WithCancel(t.Context())
 	var mu sync.Mutex
-	mark := knowledge.Watermark{Next: place(4), AsOf: time.Now().Add(time.Hour)}
+	mark := knowledge.Watermark{Next: position(4), AsOf: time.Now().Add(time.Hour)}
 	taken := make(chan knowledge.Segment[int], 1)
 	answers := make(chan error)
 	f := &follower[int]{
@@ -160,7 +160,7 @@
 			return knowledge.FitNew
 		},
 		pull: func(context.Context, string) (knowledge.Segment[int], error) {
-			return knowledge.Segment[int]{From: place(4), Next: place(5)}, <-answers
+			return knowledge.Segment[int]{From: position(4), Next: position(5)}, <-answers
 		},
 	}
 	done := make(chan struct{})
@@ -171,7 +171,7 @@
 	f.pullIfAhead("a", FeedProgress{Known: true, Next: 4})
 	f.pullIfAhead("b", FeedProgress{Known: true, Next: 5})
 	answers <- nil
-	if p := <-taken; p.Next != place(5) {
+	if p := <-taken; p.Next != position(5) {
 		t.Errorf("applied a segment up to %s", p.Next)
 	}
 	f.pullIfAhead("c", FeedProgress{Known: true, Next: 8})
@@ -180,12 +180,12 @@
 	f.behind = f.behind.Add(-maxBehind)
 	f.mu.Unlock()
 	f.wakeUp()
-	s.reads <- read[int]{from: place(5), next: place(8)}
-	if p := <-taken; p.From != place(5) || p.Next != place(8) {
+	s.reads <- read[int]{from: position(5), next: position(8)}
+	if p := <-taken; p.From != position(5) || p.Next != position(8) {
 		t.Errorf("read from %s up to %s, want 5 to 8", p.From, p.Next)
 	}
 	select {
-	case s.reads <- read[int]{from: place(8), next: place(8)}:
+	case s.reads <- read[int]{from: position(8), next: position(8)}:
 		t.Error("the feed was read although nothing was missed")
 	default:
 	}
@@ -288,8 +288,8 @@
 		u := upstream.Instance{ID: "u", Service: "s", State: upstream.StateReady}
 		ra.WithState(func(s *knowledge.State) {
 			c := catalog.Catalog{Version: 7, Services: []catalog.Service{{ID: "s"}}, Accounts: []catalog.Account{{ID: "x", Keys: []catalog.Key{"k"}}}}
-			s.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(5), AsOf: old, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
-			s.ApplyUpstreams(old, knowledge.Segment[upstream.Instance]{Whole: true, Next: place(9), AsOf: old, Changes: []services.Change[upstream.Instance]{{Key: "u", Value: &u}}})
+			s.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: position(5), AsOf: old, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
+			s.ApplyUpstreams(old, knowledge.Segment[upstream.Instance]{Whole: true, Next: position(9), AsOf: old, Changes: []services.Change[upstream.Instance]{{Key: "u", Value: &u}}})
 		})
 		a.becomeReady()
 		b, rb, _ := router(t, "b", address)
--- a/services/entry/permits_test.go
+++ b/services/entry/permits_test.go
@@ -106,7 +106,7 @@
 		}
 	}
 	routers[first].Leave(t.Context())
-	until(t, "another giver", func() bool { return grantorOf(a) != first && grantorOf(b) == grantorOf(a) })
+	until(t, "another grantor", func() bool { return grantorOf(a) != first && grantorOf(b) == grantorOf(a) })
 }
 
 // BenchmarkPermit requests permits from another router over a loopback connection, and measures
--- a/services/knowledge/knowledge_test.go
+++ b/services/knowledge/knowledge_test.go
@@ -15,14 +15,14 @@
 
 var begin = time.Unix(1000, 0)
 
-// place returns a position in a store that was never restored from a copy.
-func place(o services.Offset) services.Position { return services.Position{Offset: o} }
+// position returns a position in a store that was never restored from a copy.
+func position(o services.Offset) services.Position { return services.Position{Offset: o} }
 
 // TestCatalog checks that a catalog never reverts, and that only a confirmed end of the feed makes
 // it fresher.
 func TestCatalog(t *testing.T) {
 	segment := func(from, next services.Offset, asOf time.Duration, versions ...catalog.Version) Segment[catalog.Catalog] {
-		p := Segment[catalog.Catalog]{From: place(from), Next: place(next), AsOf: begin.Add(asOf)}
+		p := Segment[catalog.Catalog]{From: position(from), Next: position(next), AsOf: begin.Add(asOf)}
 		for _, v := range versions {
 			p.Changes = append(p.Changes, services.Change[catalog.Catalog]{Value: &catalog.Catalog{Version: v}})
 		}
@@ -65,7 +65,7 @@
 		if s.Index() != nil {
 			version = s.Index().Version
 		}
-		want := Watermark{Next: place(st.next), AsOf: begin.Add(st.at)}
+		want := Watermark{Next: position(st.next), AsOf: begin.Add(st.at)}
 		if st.next == 0 {
 			want = Watermark{}
 		}
@@ -115,8 +115,8 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := New(2 * time.Second)
-			s.ApplyUpstreams(begin, Segment[upstream.Instance]{Whole: true, Next: place(1), AsOf: begin, Changes: changes{up("a", ready), up("b", ready)}})
-			s.ApplyUpstreams(begin, Segment[upstream.Instance]{Whole: c.whole, From: place(1), Next: place(2), AsOf: begin, Changes: c.then})
+			s.ApplyUpstreams(begin, Segment[upstream.Instance]{Whole: true, Next: position(1), AsOf: begin, Changes: changes{up("a", ready), up("b", ready)}})
+			s.ApplyUpstreams(begin, Segment[upstream.Instance]{Whole: c.whole, From: position(1), Next: position(2), AsOf: begin, Changes: c.then})
 			now := begin.Add(c.after)
 			if got := len(s.Usable(now, "s")); got != c.usable {
 				t.Errorf("%d usable, want %d", got, c.usable)
@@ -133,7 +133,7 @@
 func TestOwners(t *testing.T) {
 	up := func(id, service, address string, at services.Offset) services.Change[upstream.Instance] {
 		i := &upstream.Instance{ID: upstream.ID(id), Service: service, Address: address, State: upstream.StateReady}
-		return services.Change[upstream.Instance]{Key: id, Value: i, At: place(at)}
+		return services.Change[upstream.Instance]{Key: id, Value: i, At: position(at)}
 	}
 	type changes = []services.Change[upstream.Instance]
 	cases := map[string]struct {
@@ -145,15 +145,15 @@
 		"a new one at an old address":             {changes{up("a", "s", "x", 1)}, changes{up("b", "s", "x", 5)}, 0, "b"},
 		"both read at once, the old one last":     {changes{up("b", "s", "x", 5), up("a", "s", "x", 1)}, nil, 0, "b"},
 		"the address goes to another service":     {changes{up("a", "s", "x", 1)}, changes{up("b", "other", "x", 5)}, 0, ""},
-		"the old entry lapses":                    {changes{up("a", "s", "x", 1), up("b", "s", "x", 5)}, changes{{Key: "a", At: place(6)}}, 0, "b"},
-		"the new one has gone: the old is dead":   {changes{up("a", "s", "x", 1), up("b", "s", "x", 5)}, changes{{Key: "b", At: place(6)}}, time.Second, "b"},
+		"the old entry lapses":                    {changes{up("a", "s", "x", 1), up("b", "s", "x", 5)}, changes{{Key: "a", At: position(6)}}, 0, "b"},
+		"the new one has gone: the old is dead":   {changes{up("a", "s", "x", 1), up("b", "s", "x", 5)}, changes{{Key: "b", At: position(6)}}, time.Second, "b"},
 		"the old one is listed anew at a new one": {changes{up("a", "s", "x", 1), up("b", "s", "x", 5)}, changes{up("a", "s", "z", 6)}, 0, "a b"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := New(2 * time.Second)
-			s.ApplyUpstreams(begin, Segment[upstream.Instance]{Whole: true, Next: place(6), AsOf: begin, Changes: c.first})
-			s.ApplyUpstreams(begin, Segment[upstream.Instance]{From: place(6), Next: place(7), AsOf: begin, Changes: c.then})
+			s.ApplyUpstreams(begin, Segment[upstream.Instance]{Whole: true, Next: position(6), AsOf: begin, Changes: c.first})
+			s.ApplyUpstreams(begin, Segment[upstream.Instance]{From: position(6), Next: position(7), AsOf: begin, Changes: c.then})
 			now := begin.Add(c.after)
 			var got []string
 			for _, i := range s.Usable(now, "s") {
@@ -176,11 +176,11 @@
 func TestForeignEntries(t *testing.T) {
 	entry := func(id, service string, at services.Offset) services.Change[upstream.Instance] {
 		i := &upstream.Instance{ID: upstream.ID(id), Service: service, Address: "here", State: upstream.StateReady}
-		return services.Change[upstream.Instance]{Key: id, Value: i, At: place(at)}
+		return services.Change[upstream.Instance]{Key: id, Value: i, At: position(at)}
 	}
-	ups := Segment[upstream.Instance]{Whole: true, Next: place(2), AsOf: begin, Changes: []services.Change[upstream.Instance]{entry("a", "s", 0), entry("b", "else", 1)}}
+	ups := Segment[upstream.Instance]{Whole: true, Next: position(2), AsOf: begin, Changes: []services.Change[upstream.Instance]{entry("a", "s", 0), entry("b", "else", 1)}}
 	named := &catalog.Catalog{Version: 1, Services: []catalog.Service{{ID: "s"}}}
-	catalogs := Segment[catalog.Catalog]{Whole: true, Next: place(1), AsOf: begin, Changes: []services.Change[catalog.Catalog]{{Key: "c", Value: named}}}
+	catalogs := Segment[catalog.Catalog]{Whole: true, Next: position(1), AsOf: begin, Changes: []services.Change[catalog.Catalog]{{Key: "c", Value: named}}}
 	orders := map[string][]func(*State){
 		"the catalog first": {func(s *State) { s.ApplyCatalogs(begin, catalogs) }, func(s *State) { s.ApplyUpstreams(begin, ups) }},
 		"the catalog last":  {func(s *State) { s.ApplyUpstreams(begin, ups) }, func(s *State) { s.ApplyCatalogs(begin, catalogs) }},
--- a/services/rank/coordinator.go
+++ b/services/rank/coordinator.go
@@ -91,9 +91,9 @@
 	// again.
 	moved bool
 	// foreign holds the agents that belong to another group, and when they reported it.
-	foreign map[string]time.Time
-	sending sync.WaitGroup
-	book    *balance.RouterRegistry
+	foreign  map[string]time.Time
+	sending  sync.WaitGroup
+	registry *balance.RouterRegistry
 	// latest is the load that was last reported to routers.
 	latest atomic.Pointer[balance.Group]
 	// parts are the parts of the agents, and partOf maps an agent's name to the index of its part.
@@ -117,7 +117,7 @@
 	fence := fenceOf(lead.Authority)
 	c := &coordinator{
 		a: a, logger: a.opts.Logger.With().Str("group", string(lead.Group)).Logger(), own: lead, fence: fence, version: expertmap.Version(fence), service: a.opts.Self.Service, first: s, reached: clock.Now(),
-		book: balance.NewRouterRegistry(uint64(fence)), foreign: map[string]time.Time{}, inbox: make(chan answers, inboxSize),
+		registry: balance.NewRouterRegistry(uint64(fence)), foreign: map[string]time.Time{}, inbox: make(chan answers, inboxSize),
 		outstanding: map[string]bool{}, late: map[string]bool{}, failedRelays: map[string]time.Time{},
 	}
 	c.members = make([]*member, s.Size)
--- a/services/rank/report.go
+++ b/services/rank/report.go
@@ -56,12 +56,12 @@
 func (c *coordinator) reportToRouters(ctx context.Context, now time.Time) {
 	g := c.load(now)
 	c.latest.Store(&g)
-	targets := c.book.Targets(now, c.routers)
-	number, slots := c.book.StartReport(now, targets, g.Ranks, c.bounds(g))
+	targets := c.registry.Targets(now, c.routers)
+	number, slots := c.registry.StartReport(now, targets, g.Ranks, c.bounds(g))
 	for _, n := range targets {
 		routerLoad := g
 		routerLoad.Places = slots[n.Name]
-		report, list := c.book.Pack(n.Name, routerLoad)
+		report, list := c.registry.Pack(n.Name, routerLoad)
 		report.Authority, report.Coordinator = uint64(c.own.Authority), c.a.opts.Self.Address
 		c.sending.Go(func() {
 			cctx, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -71,7 +71,7 @@
 				c.logger.Debug().Str("router", n.Name).Err(err).Msg("router-silent")
 				return
 			}
-			c.book.RecordReply(clock.Now(), n, number, list, r)
+			c.registry.RecordReply(clock.Now(), n, number, list, r)
 		})
 	}
 }
@@ -90,7 +90,7 @@
 	if g == nil {
 		return nil
 	}
-	*r = c.book.HandleLoadRequest(clock.Now(), w, *g)
+	*r = c.registry.HandleLoadRequest(clock.Now(), w, *g)
 	r.Authority, r.Coordinator = uint64(c.own.Authority), p.a.opts.Self.Address
 	return nil
 }
@@ -108,7 +108,7 @@
 		if m.known && now.Sub(m.lastContact) < 2*directInterval {
 			g.Open = g.Open && m.status.Open
 			g.Ranks = append(g.Ranks, balance.RankLoad{
-				Address: m.info.Engine, DataCentre: m.info.DataCentre, Running: m.status.Running, Waiting: m.status.Waiting, Unstarted: c.book.Unstarted(now, m.info.Engine), Pace: m.status.Pace,
+				Address: m.info.Engine, DataCentre: m.info.DataCentre, Running: m.status.Running, Waiting: m.status.Waiting, Unstarted: c.registry.Unstarted(now, m.info.Engine), Pace: m.status.Pace,
 			})
 		}
 	}
--- a/services/relay/bench_test.go
+++ b/services/relay/bench_test.go
@@ -38,8 +38,8 @@
 		changes = append(changes, services.Change[upstream.Instance]{Key: string(u.ID), Value: &u})
 	}
 	r.WithState(func(k *knowledge.State) {
-		k.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(1), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
-		k.ApplyUpstreams(now, knowledge.Segment[upstream.Instance]{Whole: true, Next: place(1), AsOf: now, Changes: changes})
+		k.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: position(1), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
+		k.ApplyUpstreams(now, knowledge.Segment[upstream.Instance]{Whole: true, Next: position(1), AsOf: now, Changes: changes})
 	})
 	return r
 }
@@ -118,7 +118,7 @@
 	u := upstream.Instance{ID: "u0", Service: "s", Address: l.Addr().String(), Slots: 4, State: upstream.StateReady}
 	r.WithState(func(k *knowledge.State) {
 		k.ApplyCatalogs(time.Now(), catalogs(time.Now()))
-		k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{Whole: true, Next: place(1), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}}})
+		k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{Whole: true, Next: position(1), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}}})
 	})
 	var began time.Time
 	front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -143,7 +143,7 @@
 		own += (<-arrived).Sub(began)
 		n++
 		r.WithState(func(k *knowledge.State) {
-			k.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{From: place(1), Next: place(1), AsOf: time.Now()})
+			k.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{From: position(1), Next: position(1), AsOf: time.Now()})
 		})
 	}
 	b.ReportMetric(float64(own.Microseconds())/float64(n), "own-us/op")
--- a/services/relay/crashes_test.go
+++ b/services/relay/crashes_test.go
@@ -69,7 +69,7 @@
 	r.WithState(func(k *knowledge.State) {
 		u := upstream.Instance{ID: "u0", Service: "s", Address: address, Slots: 4, State: state}
 		k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{
-			From: place(1), Next: place(2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
+			From: position(1), Next: position(2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
 		})
 	})
 }
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -33,8 +33,8 @@
 	"github.com/rs/zerolog"
 )
 
-// place returns a position in a store that has never been restored from a copy.
-func place(o services.Offset) services.Position { return services.Position{Offset: o} }
+// position returns a position in a store that has never been restored from a copy.
+func position(o services.Offset) services.Position { return services.Position{Offset: o} }
 
 // protocol is a minimal caller protocol for the tests.
 type protocol struct{}
@@ -131,7 +131,7 @@
 
 // catalogs returns a full snapshot of the tests' catalog that was current at a time.
 func catalogs(asOf time.Time) knowledge.Segment[catalog.Catalog] {
-	return knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(1), AsOf: asOf, Changes: []services.Change[catalog.Catalog]{{Value: &testCatalog}}}
+	return knowledge.Segment[catalog.Catalog]{Whole: true, Next: position(1), AsOf: asOf, Changes: []services.Change[catalog.Catalog]{{Value: &testCatalog}}}
 }
 
 // newRelay returns a relay without a catalog or upstreams.
@@ -156,7 +156,7 @@
 			u := upstream.Instance{ID: upstream.ID(fmt.Sprintf("u%d", i)), Service: "s", Address: f.address, Slots: 4, State: upstream.StateReady}
 			list = append(list, services.Change[upstream.Instance]{Key: string(u.ID), Value: &u})
 		}
-		s.ApplyUpstreams(now, knowledge.Segment[upstream.Instance]{Whole: true, Next: place(1), AsOf: now, Changes: list})
+		s.ApplyUpstreams(now, knowledge.Segment[upstream.Instance]{Whole: true, Next: position(1), AsOf: now, Changes: list})
 	})
 	s := httptest.NewServer(r)
 	t.Cleanup(func() { s.Close(); r.Close() })
@@ -334,7 +334,7 @@
 				k.ApplyCatalogs(time.Now(), catalogs(time.Now().Add(-c.age)))
 				u := upstream.Instance{ID: "u0", Service: "s", Address: f.address, Slots: 4, State: upstream.StateReady}
 				k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{
-					Whole: true, Next: place(1), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
+					Whole: true, Next: position(1), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
 				})
 			})
 			status, header, _, _ := get(t.Context(), t, s, c.path, map[string]string{"Key": c.key})
@@ -355,7 +355,7 @@
 		r.WithState(func(k *knowledge.State) {
 			u := upstream.Instance{ID: "u0", Born: born, Service: "s", Address: f.address, Slots: 4, State: upstream.StateReady}
 			k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{
-				Whole: true, Next: place(services.Offset(i) + 2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
+				Whole: true, Next: position(services.Offset(i) + 2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
 			})
 		})
 		if status, _, _, err := get(t.Context(), t, s, "/unsafe/x", map[string]string{"Key": "k"}); err != nil || status != 200 {
@@ -400,7 +400,7 @@
 	r.WithState(func(k *knowledge.State) {
 		u := upstream.Instance{ID: "u0", Service: "s", Address: f.address, Slots: 4, State: upstream.StateLeaving}
 		k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{
-			From: place(1), Next: place(2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
+			From: position(1), Next: position(2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
 		})
 	})
 	_, err := r.judgeSend(time.Now(), &exchange{r: r, service: "s"}, upstream.Instance{ID: "u0"})
@@ -450,7 +450,7 @@
 	c.Version, c.Services = 4, []catalog.Service{{ID: "s", Engine: &catalog.Engine{Slots: 4}}}
 	var addresses []string
 	r.WithState(func(s *knowledge.State) {
-		s.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(2), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
+		s.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: position(2), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
 		for _, u := range s.Usable(now, "s") {
 			addresses = append(addresses, u.Address)
 		}
--- a/services/relay/suspend_test.go
+++ b/services/relay/suspend_test.go
@@ -45,7 +45,7 @@
 				k.ApplyCatalogs(time.Now(), catalogs(clock.Now().Add(-time.Second)))
 				u := upstream.Instance{ID: "u0", Service: "s", Address: f.address, Slots: 4, State: upstream.StateReady}
 				k.ApplyUpstreams(clock.Now(), knowledge.Segment[upstream.Instance]{
-					Whole: true, Next: place(1), AsOf: clock.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
+					Whole: true, Next: position(1), AsOf: clock.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
 				})
 			})
 			if status, _, _, _ := get(t.Context(), t, s, "/unsafe/x", nil); status != 200 {
--- a/standin/metastore/metastore.go
+++ b/standin/metastore/metastore.go
@@ -58,7 +58,7 @@
 	mu      sync.Mutex
 	streams map[string]*stream
 	changed chan struct{}
-	trouble Fault
+	fault   Fault
 	calls   int
 	// era is reported in each answer. It rises by one with each restore from a copy.
 	era uint64
@@ -82,7 +82,7 @@
 func (s *Store) SetFault(t Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble = t
+	s.fault = t
 }
 
 // Trim makes the records of a stream unreadable, except for the newest of each key.
@@ -146,9 +146,9 @@
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.calls++
-	trouble, era := s.trouble, s.era
+	fault, era := s.fault, s.era
 	s.mu.Unlock()
-	switch trouble {
+	switch fault {
 	case FaultBusy:
 		answer{era: era, status: http.StatusServiceUnavailable}.send(w)
 		return
@@ -161,13 +161,13 @@
 	reply := answer{era: era, status: http.StatusNotFound}
 	switch r.URL.Path {
 	case "/fawnwinch/log-append":
-		reply = s.handleAppend(r, topic, trouble)
+		reply = s.handleAppend(r, topic, fault)
 	case "/fawnwinch/log-newest":
 		reply = s.newest(topic)
 	case "/fawnwinch/log-read":
 		reply = s.read(r.Context(), topic, r.URL.Query())
 	}
-	if trouble == FaultSlowAnswer {
+	if fault == FaultSlowAnswer {
 		select {
 		case <-time.After(SlowAnswerDelay):
 		case <-r.Context().Done():
--- a/standin/rankgroup/orders.go
+++ b/standin/rankgroup/orders.go
@@ -85,10 +85,10 @@
 func (g *Group) loseAnswer(n int, o order) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.rand.Float64() >= g.trouble.Lost {
+	if g.rand.Float64() >= g.faults.Lost {
 		return false
 	}
-	timer := time.NewTimer(g.trouble.Late)
+	timer := time.NewTimer(g.faults.Late)
 	g.done.Go(func() {
 		defer timer.Stop()
 		select {
--- a/standin/rankgroup/rankgroup.go
+++ b/standin/rankgroup/rankgroup.go
@@ -60,7 +60,7 @@
 	step        uint64
 	epoch       uint64
 	hotExpert   int
-	trouble     Faults
+	faults      Faults
 	mixedPasses int
 	mapChanges  int
 	heldTime    time.Duration
@@ -117,7 +117,7 @@
 func (g *Group) SetFaults(t Faults) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.trouble = t
+	g.faults = t
 }
 
 // Stats holds the counters of a group.
--- a/tests/integration/platform_ranks_test.go
+++ b/tests/integration/platform_ranks_test.go
@@ -145,12 +145,12 @@
 func TestRanks(t *testing.T) {
 	kill := func(p *process) { p.kill(); p.start() }
 	cases := map[string]struct {
-		trouble rankgroup.Faults
+		faults rankgroup.Faults
 		// fault is injected at the coordinator between two shifts.
 		fault func(r *ranks)
 	}{
 		"no faults":            {},
-		"lost and late orders": {trouble: rankgroup.Faults{Lost: 0.3, Late: 400 * time.Millisecond}},
+		"lost and late orders": {faults: rankgroup.Faults{Lost: 0.3, Late: 400 * time.Millisecond}},
 		"coordinator killed":   {fault: func(r *ranks) { kill(r.coordinator()) }},
 		"coordinator frozen and woken": {fault: func(r *ranks) {
 			p := r.coordinator()
@@ -159,7 +159,7 @@
 			p.signal(syscall.SIGCONT)
 		}},
 		"coordinator killed while it holds the group, with lost orders": {
-			trouble: rankgroup.Faults{Lost: 0.3, Late: 300 * time.Millisecond},
+			faults: rankgroup.Faults{Lost: 0.3, Late: 300 * time.Millisecond},
 			fault: func(r *ranks) {
 				p := r.coordinator()
 				for held := false; !held; {
@@ -179,7 +179,7 @@
 			t.Parallel()
 			r := newRanks(t, 7)
 			r.awaitMaps("a first map", 1)
-			r.group.SetFaults(c.trouble)
+			r.group.SetFaults(c.faults)
 			r.awaitMaps("a map that follows", 2)
 			if c.fault != nil {
 				c.fault(r)
--- a/tests/soak/return_test.go
+++ b/tests/soak/return_test.go
@@ -20,9 +20,9 @@
 	c := w.store.Snapshot()
 	pause(duration)
 	defer w.storeDisturbances.begin()()
-	trouble := []metastore.Fault{metastore.FaultNone, metastore.FaultBusy, metastore.FaultNoAnswer, metastore.FaultSlowAnswer, metastore.FaultLateWrite}[rng.IntN(5)]
-	if trouble != metastore.FaultNone {
-		w.store.SetFault(trouble)
+	fault := []metastore.Fault{metastore.FaultNone, metastore.FaultBusy, metastore.FaultNoAnswer, metastore.FaultSlowAnswer, metastore.FaultLateWrite}[rng.IntN(5)]
+	if fault != metastore.FaultNone {
+		w.store.SetFault(fault)
 		pause(duration / 2)
 	}
 	w.store.Restore(c)
