--- a/services/expertswitch/coordinator.go
+++ b/services/expertswitch/coordinator.go
@@ -58,8 +58,8 @@
 	ResultRecovered Result = "recovered"
 	// ResultReplaced means that a later coordinator has taken over.
 	ResultReplaced Result = "replaced"
-	// ResultGivenUp means that not every rank answered the promise in time; nothing was started.
-	ResultGivenUp Result = "given-up"
+	// ResultTimedOut means that not every rank answered the promise in time; nothing was started.
+	ResultTimedOut Result = "given-up"
 )
 
 // Coordinator leads one group through a change of map. It does no I/O and reads no clock.
@@ -105,8 +105,8 @@
 // States returns the states that the ranks reported in their last answers.
 func (c *Coordinator) States() map[group.Rank]services.EngineState { return c.states }
 
-// Seen records a ballot that another process uses.
-func (c *Coordinator) Seen(b Ballot) { c.highestSeen = max(c.highestSeen, b) }
+// ObserveBallot records a ballot that another process uses.
+func (c *Coordinator) ObserveBallot(b Ballot) { c.highestSeen = max(c.highestSeen, b) }
 
 // Start begins a round that completes or aborts an earlier coordinator's round and then proposes a
 // map. With a nil map it proposes nothing. The proposal gets its version from the ballot.
@@ -176,7 +176,7 @@
 	elapsed := now.Sub(c.phaseStart)
 	switch {
 	case c.phase == PhasePromise && elapsed >= c.cfg.HoldLimit:
-		c.end(ResultGivenUp)
+		c.end(ResultTimedOut)
 		return nil
 	case c.phase == PhaseStage && elapsed >= c.cfg.StageLimit, c.phase == PhasePrepare && elapsed >= c.cfg.HoldLimit:
 		return c.enter(now, PhaseAbort)
--- a/services/relay/bench_test.go
+++ b/services/relay/bench_test.go
@@ -37,9 +37,9 @@
 		u := upstream.Instance{ID: upstream.ID(fmt.Sprint("i-", i)), Born: 1, Service: "s", Address: fmt.Sprintf("10.0.%d.1:80", i), Slots: 10, State: upstream.StateReady}
 		changes = append(changes, services.Change[upstream.Instance]{Key: string(u.ID), Value: &u})
 	}
-	r.Know(func(k *knowledge.State) {
-		k.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(1), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
-		k.ApplyUpstreams(now, knowledge.Segment[upstream.Instance]{Whole: true, Next: place(1), AsOf: now, Changes: changes})
+	r.WithState(func(k *knowledge.State) {
+		k.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: position(1), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
+		k.ApplyUpstreams(now, knowledge.Segment[upstream.Instance]{Whole: true, Next: position(1), AsOf: now, Changes: changes})
 	})
 	return r
 }
@@ -116,9 +116,9 @@
 	r := newRelay()
 	b.Cleanup(r.Close)
 	u := upstream.Instance{ID: "u0", Service: "s", Address: l.Addr().String(), Slots: 4, State: upstream.StateReady}
-	r.Know(func(k *knowledge.State) {
+	r.WithState(func(k *knowledge.State) {
 		k.ApplyCatalogs(time.Now(), catalogs(time.Now()))
-		k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{Whole: true, Next: place(1), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}}})
+		k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{Whole: true, Next: position(1), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}}})
 	})
 	var began time.Time
 	front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -142,8 +142,8 @@
 		_ = resp.Body.Close()
 		own += (<-arrived).Sub(began)
 		n++
-		r.Know(func(k *knowledge.State) {
-			k.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{From: place(1), Next: place(1), AsOf: time.Now()})
+		r.WithState(func(k *knowledge.State) {
+			k.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{From: position(1), Next: position(1), AsOf: time.Now()})
 		})
 	}
 	b.ReportMetric(float64(own.Microseconds())/float64(n), "own-us/op")
--- a/tests/integration/platform_test.go
+++ b/tests/integration/platform_test.go
@@ -209,10 +209,10 @@
 	return body
 }
 
-// TestPlatformPath runs real routers through a start without a configuration, a first
+// TestPlatformEndToEnd runs real routers through a start without a configuration, a first
 // configuration, removed keys, an upstream that leaves, trimmed records, a change of settings, and
 // an outage of the store in which a router starts.
-func TestPlatformPath(t *testing.T) {
+func TestPlatformEndToEnd(t *testing.T) {
 	s := newSite(t)
 	a := s.router("a")
 	eventually(t, "an answer", func() bool { status, _, _ := post(t.Context(), t, a.front, "/peek/x", "k"); return status != 0 })
@@ -269,8 +269,8 @@
 		}
 	})
 	t.Run("a router starts while the store is out", func(t *testing.T) {
-		s.store.Trouble(metastore.TroubleBusy)
-		defer s.store.Trouble(metastore.TroubleNone)
+		s.store.SetFault(metastore.FaultBusy)
+		defer s.store.SetFault(metastore.FaultNone)
 		b := s.router("b", a.control)
 		eventually(t, "a request served by it", func() bool { status, _, _ := post(t.Context(), t, b.front, "/peek/x", "k"); return status == 200 })
 		eventually(t, "refused keys that cannot be verified as current", func() bool {
