--- a/cmd/platform.go
+++ b/cmd/platform.go
@@ -147,7 +147,7 @@
 // serveMetrics registers the metrics of the store and the connections, and serves all metrics on a
 // port of the VM unless the port is 0.
 func (n node) serveMetrics(lc fx.Lifecycle, m *metrics.Metrics, store *platform.Store, pool *rpc.Pool) error {
-	m.Each("store_calls_total", "Calls of the platform's store, by what they are for.", "call", true, func() []metrics.Sample {
+	m.Each("store_calls_total", "Calls to the platform's store, by purpose.", "call", true, func() []metrics.Sample {
 		var out []metrics.Sample
 		for call, n := range store.Calls() {
 			out = append(out, metrics.Sample{Label: call, Value: float64(n)})
@@ -155,8 +155,8 @@
 		return out
 	})
 	m.Counter("store_unread_records_total", "Records of the platform's store that could not be decoded.", nil, func() float64 { return float64(store.Unread()) })
-	m.Gauge("store_era", "Newest era that the platform's store has told.", nil, func() float64 { return float64(store.Era()) })
-	m.Counter("store_returns_total", "Times that the platform's store came back from a copy while this process ran.", nil, func() float64 { return float64(store.Returns()) })
+	m.Gauge("store_era", "Newest era that the platform's store has reported.", nil, func() float64 { return float64(store.Era()) })
+	m.Counter("store_returns_total", "Times that the platform's store was restored from a copy while this process ran.", nil, func() float64 { return float64(store.Returns()) })
 	m.Counter("peer_sent_bytes_total", "Bytes sent to other processes.", nil, func() float64 { return float64(pool.Stats.Sent.Load()) })
 	if n.metrics == 0 {
 		return nil
@@ -246,7 +246,7 @@
 // registerLeadershipMetrics registers the metrics for whether the group of an agent's rank has a
 // coordinator, according to the agent.
 func registerLeadershipMetrics(m *metrics.Metrics, a *rank.Agent) {
-	m.Each("group_led", "1 if the agent hears a coordinator of its rank's group, else 0; the group is empty while the engine has not told it.", "group", false, func() []metrics.Sample {
+	m.Each("group_led", "1 if the agent receives messages from a coordinator of its rank's group, else 0; the group is empty until the engine reports it.", "group", false, func() []metrics.Sample {
 		l := a.Leadership(clock.Now())
 		led := 0.0
 		if l.Led {
@@ -254,7 +254,7 @@
 		}
 		return []metrics.Sample{{Label: string(l.Group), Value: led}}
 	})
-	m.Each("group_silence_seconds", "Time since the agent heard a coordinator of its rank's group, or learned the group if it never did.", "group", false, func() []metrics.Sample {
+	m.Each("group_silence_seconds", "Time since the agent last received a message from a coordinator of its rank's group, or since it learned the group if it never received one.", "group", false, func() []metrics.Sample {
 		l := a.Leadership(clock.Now())
 		return []metrics.Sample{{Label: string(l.Group), Value: l.Silence.Seconds()}}
 	})
--- a/cmd/platform_status.go
+++ b/cmd/platform_status.go
@@ -95,11 +95,11 @@
 // printStore prints a line for each router with its state of the store.
 func printStore(w io.Writer, all []entry.GroupsStatus) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	_, _ = fmt.Fprintln(t, "ROUTER\tSTORE ERA\tKNOWN FOR s\tSTATE\tVERSION\tPROVEN ms AGO\tCATALOGS\tUPSTREAMS")
+	_, _ = fmt.Fprintln(t, "ROUTER\tSTORE ERA\tERA AGE s\tSTATE\tVERSION\tVERIFIED ms AGO\tCATALOGS\tUPSTREAMS")
 	for _, s := range all {
 		state, proven := "settled", "never"
 		if s.Store.Unsettled {
-			state = "back from a copy"
+			state = "restored from a copy"
 		}
 		if s.Store.Proven {
 			proven = strconv.FormatInt(s.Store.ProvenAge.Milliseconds(), 10)
@@ -113,7 +113,7 @@
 // service.
 func printGroups(w io.Writer, all []entry.GroupsStatus) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	_, _ = fmt.Fprintln(t, "ROUTER\tSERVICE\tGROUP\tCOORDINATOR\tAUTHORITY\tTOLD ms AGO\tSTATE\tRANKS\tRUNNING\tWAITING\tSKEW")
+	_, _ = fmt.Fprintln(t, "ROUTER\tSERVICE\tGROUP\tCOORDINATOR\tAUTHORITY\tREPORTED ms AGO\tSTATE\tRANKS\tRUNNING\tWAITING\tSKEW")
 	for _, s := range all {
 		for _, g := range s.Groups {
 			_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%d\t%d\t%d\t%.2f\n", s.Router, g.Service, g.Group, g.Address, g.Authority,
@@ -121,7 +121,7 @@
 		}
 		for _, c := range s.Coverage {
 			if len(c.Unreported) > 0 {
-				_, _ = fmt.Fprintf(t, "%s\t%s\t-\tnobody tells of %d of %d ranks: %s\n", s.Router, c.Service, len(c.Unreported), c.Listed, strings.Join(c.Unreported, " "))
+				_, _ = fmt.Fprintf(t, "%s\t%s\t-\tno coordinator reports %d of %d ranks: %s\n", s.Router, c.Service, len(c.Unreported), c.Listed, strings.Join(c.Unreported, " "))
 			}
 		}
 	}
@@ -136,6 +136,6 @@
 	case g.Whole:
 		return "forming"
 	default:
-		return "misses ranks"
+		return "ranks missing"
 	}
 }
--- a/cmd/platform_status_test.go
+++ b/cmd/platform_status_test.go
@@ -40,11 +40,11 @@
 	if err := printGroups(&out, []entry.GroupsStatus{s}); err != nil {
 		t.Fatal(err)
 	}
-	want := `ROUTER  SERVICE  GROUP  COORDINATOR  AUTHORITY  TOLD ms AGO  STATE         RANKS  RUNNING  WAITING  SKEW
-r       m        g0     10.1.0.1:80  3          70           open          2      9        1        1.50
-r       m        g1     10.1.0.1:80  3          70           forming       2      9        1        1.50
-r       m        g2     10.1.0.1:80  3          70           misses ranks  2      9        1        1.50
-r       m        -      nobody tells of 2 of 8 ranks: a:1 b:1
+	want := `ROUTER  SERVICE  GROUP  COORDINATOR  AUTHORITY  REPORTED ms AGO  STATE          RANKS  RUNNING  WAITING  SKEW
+r       m        g0     10.1.0.1:80  3          70               open           2      9        1        1.50
+r       m        g1     10.1.0.1:80  3          70               forming        2      9        1        1.50
+r       m        g2     10.1.0.1:80  3          70               ranks missing  2      9        1        1.50
+r       m        -      no coordinator reports 2 of 8 ranks: a:1 b:1
 `
 	if got := out.String(); got != want {
 		t.Errorf("printed\n%s\nwant\n%s", got, want)
@@ -62,9 +62,9 @@
 	if err := printStore(&out, all); err != nil {
 		t.Fatal(err)
 	}
-	want := `ROUTER  STORE ERA  KNOWN FOR s  STATE             VERSION  PROVEN ms AGO  CATALOGS  UPSTREAMS
-a       1          90           settled           48       70             1/15      1/27
-b       2          1            back from a copy  48       never          2/11      1/27
+	want := `ROUTER  STORE ERA  ERA AGE s  STATE                 VERSION  VERIFIED ms AGO  CATALOGS  UPSTREAMS
+a       1          90         settled               48       70               1/15      1/27
+b       2          1          restored from a copy  48       never            2/11      1/27
 `
 	if got := out.String(); got != want {
 		t.Errorf("printed\n%s\nwant\n%s", got, want)
--- a/cmd/platform_timeline.go
+++ b/cmd/platform_timeline.go
@@ -56,7 +56,7 @@
 					return wrap(err, "print time line")
 				}
 			}
-			_, _ = fmt.Fprintf(c.ErrOrStderr(), "%d of %d lines, %d others passed over\n", len(chosen), len(lines), skipped)
+			_, _ = fmt.Fprintf(c.ErrOrStderr(), "%d of %d log lines, %d other lines skipped\n", len(chosen), len(lines), skipped)
 			if f.request != "" && len(chosen) == 0 {
 				return setting.ErrInvalid{Field: "--request", Value: f.request, Reason: "is not in any of these logs"}
 			}
--- a/cmd/platform_timeline_test.go
+++ b/cmd/platform_timeline_test.go
@@ -68,7 +68,7 @@
 			if got := strings.Join(events, " "); got != c.want {
 				t.Errorf("lines %q, want %q", got, c.want)
 			}
-			if !strings.Contains(errs.String(), "1 others passed over") {
+			if !strings.Contains(errs.String(), "1 other lines skipped") {
 				t.Errorf("summary %q", errs.String())
 			}
 		})
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -195,5 +195,5 @@
 		return ErrInvalid{File: path, Field: "document", Reason: err.Error()}
 	}
 	f := fields[0]
-	return ErrInvalid{File: path, Field: f.Namespace(), Value: fmt.Sprint(f.Value()), Reason: "breaks rule " + f.Tag() + " " + f.Param()}
+	return ErrInvalid{File: path, Field: f.Namespace(), Value: fmt.Sprint(f.Value()), Reason: "violates rule " + f.Tag() + " " + f.Param()}
 }
--- a/services/relay/notices.go
+++ b/services/relay/notices.go
@@ -62,7 +62,7 @@
 
 // measureConditions exports the number of upstreams in each condition as a metric.
 func (r *Relay) measureConditions(m *metrics.Metrics, now func() time.Time) {
-	m.Each("upstreams_by_condition", "Upstreams that have said in answers to this router that they leave, rest or limit their requests.", "condition", false, func() []metrics.Sample {
+	m.Each("upstreams_by_condition", "Upstreams that have reported to this router that they are leaving, back off or limit their requests.", "condition", false, func() []metrics.Sample {
 		var out []metrics.Sample
 		for kind, n := range r.Conditions(now()) {
 			out = append(out, metrics.Sample{Label: string(kind), Value: float64(n)})
