--- a/services/admission/forecast.go
+++ b/services/admission/forecast.go
@@ -13,8 +13,9 @@
 
 // queueWait forecasts the time until all waiting requests and one more are admitted. If a
 // coordinator reports the backlog and rate of all routers, these are used: one of many routers has
-// too few requests for a forecast. A newly opened group has not admitted anything yet, so the
-// forecast throughput of its ranks is used; callers were rejected because of a rate of zero.
+// too few requests for a forecast. A newly opened group has not admitted anything yet, and callers
+// were rejected because of its measured rate of zero. So the forecast throughput of its ranks is
+// used if it is higher.
 func (q *Queue) queueWait(now time.Time, e *catalog.Engine, b balance.Bounds) time.Duration {
 	ahead, rate := float64(len(q.waiting)+1), q.Rate(now)
 	if ranks, opened := q.pool.OpenRanks(now, rateWindow); opened && e != nil {
@@ -65,9 +66,10 @@
 }
 
 // maxSilentWait returns how long a request may wait for room and still get its first event before
-// its caller leaves the silent stream. Passes of half a second, caused by one slow rank, take most
-// of that time: callers that were admitted later left, and their requests were processed in vain.
-// The next passes of a closed group are unknown.
+// its caller disconnects from the silent stream. With passes of half a second, caused by one slow
+// rank, the first event takes most of that time: callers that were admitted later disconnected, and
+// their requests were processed in vain. For a closed group the full timeout is returned, as the
+// length of its next passes is unknown.
 func (q *Queue) maxSilentWait(now time.Time, x *Request, closed bool) time.Duration {
 	if x.Ask.Engine == nil || closed {
 		return silentStreamTimeout
@@ -75,8 +77,10 @@
 	return max(silentStreamTimeout-balance.FirstEvent(x.Ask.Engine, q.pool.GroupLoad(now)), 0)
 }
 
-// isRetry reports whether the caller has a shorter timeout than other callers of its route, which
-// means that it was rejected before and retries. It also updates the longest timeout of the route.
+// isRetry reports whether the caller was rejected before and retries. Such a caller has less time
+// left than a new one and sends a shorter timeout, so a timeout clearly below the longest one seen
+// on the route identifies it. isRetry also updates the longest timeout of the route. In the
+// learning period it compares with the route's configured timeout as well, which it does not store.
 func (q *Queue) isRetry(now time.Time, x *Request) bool {
 	full := max(q.longestTimeout[x.Route], x.Patience)
 	q.longestTimeout[x.Route] = full
--- a/services/balance/allotment.go
+++ b/services/balance/allotment.go
@@ -120,10 +120,11 @@
 const (
 	// slowPace is the pace from which a rank gets no requests while the others have normal pace. A
 	// prompt of 800 tokens takes 13 ms to read, and 65 ms at a rank that is five times slower: all
-	// streams of the group wait for it. With one such rank of 12 the credit was 0.65 with requests
-	// to it, and 0.71 and 0.72 without.
+	// streams of the group wait for it. A group with one such rank of 12 earned 0.65 of the
+	// possible credit with requests to it, and 0.71 and 0.72 without.
 	slowPace = 2.0
-	// maxSlowFraction is the largest fraction of the ranks that may be skipped for this reason.
+	// maxSlowFraction is the largest fraction of the ranks that may be skipped because they are
+	// slow. If more are slow, none is skipped.
 	maxSlowFraction = 1.0 / 3
 )
 
--- a/services/balance/pool.go
+++ b/services/balance/pool.go
@@ -243,10 +243,12 @@
 }
 
 // load estimates the requests at an upstream. One of many routers has nothing in flight at most
-// ranks. Next to reported ranks, those of an unreported group would all look idle, and all routers
-// would send there first. So the mean of the group is added to this router's sends to the rank. In
-// replays of 31 routers and three groups of 24 ranks, one of them without a leader, this earns 1.00
-// of the credit of a calm load, and 0.37 without it.
+// ranks. Next to ranks with a fresh report, those without one would all look idle, and all routers
+// would send there first. So the estimated mean over all ranks without a fresh report is added to
+// this router's sends to the rank. A rank without any valid report is weighted in addition, as its
+// group is assumed to be on its first map. In replays of 31 routers and three groups of 24 ranks,
+// one of them without a leader, this earns 1.00 of the credit that is earned under a calm load, and
+// 0.37 without it.
 func (v *estimator) load(now time.Time, p *Pool, s *state) float64 {
 	switch {
 	case !v.mixed || s.fresh(now):
@@ -260,8 +262,8 @@
 
 // limit returns the number of requests that an upstream may have. A group without a leader stays on
 // its first map, or on a map that no longer fits the demand: with as many streams as the others its
-// passes exceed the goal. In the same replays with half as much load again, a limit based on the
-// skew of a first map earns 1.00, and the limit of the other groups 0.88.
+// passes exceed the goal. In the same replays with 1.5 times the load, a limit based on the skew of
+// a first map earns 1.00, and the limit of the other groups 0.88.
 func (v *estimator) limit(now time.Time, s *state) int {
 	if v.mixed && !s.reported(now) && v.ask.Leaderless.Mean > 0 {
 		return v.ask.Leaderless.Mean
--- a/services/balance/report.go
+++ b/services/balance/report.go
@@ -96,7 +96,7 @@
 }
 
 // Pack returns the report of a group whose ranks are those of the list, in list order. Has is the
-// number of the list that the router has.
+// number of the list that the router has; if that is another list, the addresses are included.
 func (l RankList) Pack(g Group, has uint64) Report {
 	n := len(g.Ranks)
 	r := Report{
@@ -145,7 +145,8 @@
 	return l.counts(u)
 }
 
-// UnpackUnstarted returns counts in list order by address; nil if they refer to another list.
+// UnpackUnstarted returns counts in list order by address; nil if their number is not that of the
+// list.
 func (l RankList) UnpackUnstarted(counts []uint) Unstarted {
 	if len(counts) != len(l.Addresses) {
 		return nil
--- a/services/balance/router_registry.go
+++ b/services/balance/router_registry.go
@@ -188,9 +188,10 @@
 // none.
 const probeInterval = time.Second
 
-// probes limits the allotments at ranks that look idle because they reject requests. Each router
-// without a rejection would send there first, and most of many routers have none. One request at a
-// time finds out when such a rank accepts requests again. The caller holds the lock.
+// probes limits the allotments at ranks that look idle because they reject requests. A router that
+// has not been rejected there would send to such a rank first, and with many routers most have not.
+// One request per probeInterval shows when the rank accepts requests again. The caller holds the
+// lock.
 func (b *RouterRegistry) probes(now time.Time, ranks []RankLoad, demands []Demand) SendLimits {
 	out := SendLimits{}
 	for _, r := range ranks {
@@ -208,7 +209,8 @@
 	return out
 }
 
-// Pack returns the latest report packed for a router, and the rank list that it refers to.
+// Pack returns a group's load, with the backlog of the latest report, packed for a router, and the
+// rank list that it refers to. The list itself is included only if the router does not have it.
 func (b *RouterRegistry) Pack(name string, g Group) (Report, RankList) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/services/expertswitch/coordinator.go
+++ b/services/expertswitch/coordinator.go
@@ -14,7 +14,8 @@
 // Phase is the stage of a coordinator's round.
 type Phase string
 
-// The phases.
+// The phases. In each but PhaseIdle, the coordinator sends the message of the same name to all
+// ranks.
 const (
 	PhaseIdle    Phase = "idle"
 	PhasePromise Phase = "promise"
@@ -38,7 +39,8 @@
 	Margin group.Step
 	// StageLimit is the time after which the stage phase is aborted.
 	StageLimit time.Duration
-	// HoldLimit is the time after which a promise or prepare phase ends: ranks may be holding.
+	// HoldLimit is the time after which a promise or prepare phase ends. Ranks may hold the group
+	// during these phases.
 	HoldLimit time.Duration
 }
 
@@ -58,7 +60,8 @@
 	ResultRecovered Result = "recovered"
 	// ResultReplaced means that a later coordinator has taken over.
 	ResultReplaced Result = "replaced"
-	// ResultTimedOut means that not every rank answered the promise in time; nothing was started.
+	// ResultTimedOut means that the promise phase timed out and nothing was started: not every rank
+	// answered, or the step of an earlier switch order had not begun.
 	ResultTimedOut Result = "given-up"
 )
 
@@ -191,7 +194,8 @@
 	c.phase, c.result, c.recovering = PhaseIdle, r, false
 }
 
-// Receive processes a rank's answer.
+// Receive processes a rank's answer and returns the messages to send next. From late and duplicate
+// answers it uses only the highest ballot that the rank obeys.
 func (c *Coordinator) Receive(now time.Time, from group.Rank, r Reply) []Send {
 	c.highestSeen = max(c.highestSeen, r.Promised)
 	if c.phase == PhaseIdle || r.Ballot != c.ballot || r.Kind != c.message().Kind || !c.waiting[from] {
@@ -208,7 +212,8 @@
 	return c.advance(now)
 }
 
-// handleRefusal handles a rank's refusal.
+// handleRefusal ends the round if the rank obeys a later coordinator, and otherwise aborts a stage
+// or prepare phase. In the other phases the message is sent again after the retry interval.
 func (c *Coordinator) handleRefusal(now time.Time, r Reply) []Send {
 	if r.Promised > c.ballot {
 		c.end(ResultReplaced)
@@ -245,7 +250,9 @@
 	return s
 }
 
-// resolveEarlierRound decides how to end an earlier round from the states that all ranks reported.
+// resolveEarlierRound decides how to end an earlier coordinator's round from the states that all
+// ranks reported. Ranks get the switch order only once all of them hold, and a hold ends only by an
+// order to switch or to release. So a single switch order shows that the decision was to commit.
 func (c *Coordinator) resolveEarlierRound(now time.Time) []Send {
 	held, switching := false, false
 	for _, st := range c.states {
@@ -256,12 +263,12 @@
 	}
 	switch {
 	case switching && held:
-		// One rank has the switch order and another still holds: the decision was to commit.
+		// Some ranks have the switch order and others still hold: the others get it too.
 		c.recovering = true
 		return c.enter(now, PhaseCommit)
 	case switching:
-		// All ranks have the switch order, but the step is in the future: it must pass before a new
-		// round begins.
+		// No rank holds any more, so all have received the switch order, but not all have begun its
+		// step. They must begin it before a new round starts.
 		c.waitForStep(now)
 		return nil
 	case held:
--- a/services/mapswitch/machine.go
+++ b/services/mapswitch/machine.go
@@ -193,7 +193,8 @@
 	return last
 }
 
-// HandleAnswer processes the result of an order that TakeOrders returned.
+// HandleAnswer processes the result of an order that TakeOrders returned. It ignores the results of
+// orders from an earlier stage, or with an earlier step or fence.
 func (m *Machine) HandleAnswer(now time.Time, s Send, a services.RankAnswer) {
 	if m.Ended() || !m.addresses(s.Rank) || s.Begin != (m.stage == StagePrepareOwner) || s.Order.Kind != m.order(s.Rank).Kind || s.Order.Fence != m.Fence || (m.stage != StageRelease && s.Order.Step != m.step) {
 		return
@@ -225,6 +226,11 @@
 	m.fencedAt[r], m.sent[r] = now, true
 }
 
+// conflict handles the answer that an order conflicts with the state of a rank. A rank that cannot
+// load the map ends the change. A hold conflicts if its pass has begun, so it is retried with a
+// later pass. If a rank can no longer be armed, or the agent of the holder has no record of the
+// change, the change is rolled back. A rank that has nothing to disarm or release counts as
+// confirmed.
 func (m *Machine) conflict(now time.Time, r group.Rank) {
 	switch m.stage {
 	case StagePrepareOwner, StagePrepare:
@@ -236,7 +242,7 @@
 		}
 		m.enter(now, StageHold)
 	case StageResolveHold:
-		// The pass has begun, so no rank is still armed for it.
+		// The pass has begun, so no rank is still armed for it. StageFence reads the states again.
 		m.enter(now, StageFence)
 	case StageArm, StageAnnounce, StageArmOwner:
 		m.rollBack(now)
--- a/services/placement/full.go
+++ b/services/placement/full.go
@@ -10,10 +10,11 @@
 	"fawnwinch.org/fawnwinch/models/expertmap"
 )
 
-// Recompute computes a map from the popularity alone. It gives replicas to the experts with the
-// most load per replica and assigns the replicas, largest load first, each to the least loaded rank
-// with a free slot. It then reduces the remaining skew move by move. It is the baseline that
-// ignores the cost of loading.
+// Recompute computes a map from the popularity and the speed of the ranks. It gives replicas to the
+// experts with the most load per replica and assigns the replicas, largest load first, each to the
+// least loaded rank with a free slot. It then reduces the remaining skew move by move. It is the
+// baseline that ignores the cost of loading: the old map only gives the number of slots and decides
+// which rank gets which of the new lists of experts.
 func Recompute(m *expertmap.Map, p Popularity, speed []float64) *expertmap.Map {
 	out := &expertmap.Map{Group: m.Group, Version: m.Version, Layers: make([]expertmap.Layer, len(p))}
 	for i := range p {
@@ -33,8 +34,10 @@
 	return out
 }
 
-// assignToRanks assigns each new list of experts to the rank of the same speed that already holds
-// most of them.
+// assignToRanks assigns each new list of experts to the rank that already holds most of them, so
+// that fewer experts are loaded. A list fits a rank with the same speed and number of slots as the
+// one that it was computed for. Lists are assigned one after the other, so the total number of
+// loads may not be the smallest.
 func assignToRanks(old, fresh [][]expertmap.Expert, speed []float64) [][]expertmap.Expert {
 	out := make([][]expertmap.Expert, len(fresh))
 	for n := range fresh {
@@ -65,6 +68,8 @@
 // fullMinSaving ends the balancing when a move saves less than a ten-thousandth of a layer's skew.
 const fullMinSaving = 1e-4
 
+// assignReplicas returns the experts of each rank in a layer: the replicas, largest load first,
+// each at the least loaded rank with a free slot. room holds the number of slots of each rank.
 func assignReplicas(popularity, speed []float64, room []int) [][]expertmap.Expert {
 	slots := 0
 	for _, n := range room {
--- a/services/rank/campaign.go
+++ b/services/rank/campaign.go
@@ -45,7 +45,7 @@
 	Claiming bool
 }
 
-// Leads returns the coordinator of the group of the rank, if there is one.
+// Leads returns the coordinator of this agent's group, if the agent has contact with one.
 func (p *API) Leads(ask LeadAsk, r *LeadReply) error {
 	own := p.a.groupFor(clock.Now(), ask.Group)
 	p.a.mu.Lock()
@@ -117,7 +117,8 @@
 	if err := a.opts.Store.PutNodes(cctx, []peer.Info{a.opts.Self}); err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
-	// Others that were missing too are about to register.
+	// The list must be read again: other agents that were missing from it are about to register
+	// too.
 	a.lastView.listed, a.lastView.at = true, time.Time{}
 	return nil
 }
@@ -132,7 +133,7 @@
 		return
 	}
 	if r.Status.Group != before {
-		a.recordTry(TryOtherGroup) // its coordinator may be about to ask
+		a.recordTry(TryOtherGroup) // the coordinator of the new group may be about to poll it
 		return
 	}
 	s, err := a.clusterView(ctx)
--- a/services/rank/counts.go
+++ b/services/rank/counts.go
@@ -21,8 +21,9 @@
 	countsPerRound = 24_000
 	// minCountedRanks is the number of ranks that are always asked for counts, and
 	// defaultCountedRanks the number that is asked where countsPerRound allows it. Demand is common
-	// to the group: requests go to ranks by load alone, so a few ranks show it. Of twelve ranks, 4
-	// gave a worth of 0.704 and 8 gave 0.712.
+	// to the group: requests go to ranks by load alone, so a few ranks show it. In a group of
+	// twelve ranks, counts from 4 earned 0.704 of the possible credit, and counts from 8 earned
+	// 0.712.
 	minCountedRanks     = 4
 	defaultCountedRanks = 8
 )
--- a/services/rank/dispatch.go
+++ b/services/rank/dispatch.go
@@ -31,7 +31,8 @@
 }
 
 // dispatch sends orders: identical ones to several ranks of a part through a relay, others one by
-// one.
+// one. Orders that go directly to engines need no relay, and neither does an announcement, which
+// goes to one agent only.
 func (d *driver) dispatch(ctx context.Context, sends []mapswitch.Send, answers chan<- answered) {
 	batches := map[batch][]delivery{}
 	for _, s := range sends {
--- a/services/rank/driver.go
+++ b/services/rank/driver.go
@@ -65,7 +65,9 @@
 	return true
 }
 
-// change brings a new map into force.
+// change switches the group to a new map. If it succeeds, the map is pending until the ranks begin
+// the pass that uses it, and the planner learns how long the loading took. If it is abandoned
+// because demand has shifted, the planner may plan the next change at once.
 func (d *driver) change(ctx context.Context, status []services.RankStatus, next *expertmap.Map) {
 	began := clock.Now()
 	m := mapswitch.Start(began, d.c.fence+1, d.self(), status, next.Version, next.Layers)
@@ -134,7 +136,8 @@
 	return clock.Since(m.HeldAt())
 }
 
-// self returns the coordinator's own rank.
+// self returns the coordinator's own rank, or 0 if no rank is recorded for its agent: the engine
+// beside it has not answered since the coordinator began.
 func (d *driver) self() group.Rank {
 	for r, m := range d.c.members {
 		if m.info.Name == d.c.a.opts.Self.Name {
--- a/services/rank/members.go
+++ b/services/rank/members.go
@@ -93,7 +93,8 @@
 	c.sending.Go(func() { c.inbox <- c.gather(ctx, now, p, relay, g) })
 }
 
-// gather polls the agents of a part through a relay.
+// gather polls the agents of a part through a relay. If the relay fails, no agent of the part
+// counts as having answered, and another relay is used for a while.
 func (c *coordinator) gather(ctx context.Context, sent time.Time, p part, relay peer.Info, g GatherAsk) answers {
 	cctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
--- a/services/rank/report.go
+++ b/services/rank/report.go
@@ -15,8 +15,8 @@
 // logInterval is the time between two log lines on the load of the group.
 const logInterval = 500 * time.Millisecond
 
-// missingAfter is how long a rank may be silent before its group is reported as incomplete; some
-// rounds.
+// missingAfter is how long a rank may be silent before its group is reported as incomplete: more
+// than five poll rounds of pollInterval.
 const missingAfter = 400 * time.Millisecond
 
 // logLoad logs the load of the group at intervals.
@@ -52,7 +52,7 @@
 	return balance.Pass(c.engine, l).Seconds() * 1000
 }
 
-// reportToRouters sends routers the load of the group, and each of them its quota.
+// reportToRouters sends routers the load of the group, and each of them its allotment.
 func (c *coordinator) reportToRouters(ctx context.Context, now time.Time) {
 	g := c.load(now)
 	c.latest.Store(&g)
@@ -78,7 +78,7 @@
 
 // Report returns to a router the load of the group that this agent coordinates; the answer is empty
 // if it coordinates none. The router may decide by itself what to send until the next report, which
-// has its quota.
+// contains its allotment.
 func (p *API) Report(w balance.LoadRequest, r *balance.Report) error {
 	p.a.mu.Lock()
 	c := p.a.leading
--- a/services/share/queue.go
+++ b/services/share/queue.go
@@ -250,7 +250,8 @@
 	return Refusal{Ticket: last.Ticket, Reason: ReasonEvicted, RetryAfter: q.retryAfter(f)}, true
 }
 
-// Next returns the requests that start now, and refuses those whose deadline has passed.
+// Next returns the requests that start now. It refuses requests whose deadline has passed and,
+// while others wait, those that will probably miss their deadline.
 func (q *Queue) Next(now time.Time) (start []Item, refused []Refusal) {
 	for !q.busy() && q.waiting > 0 {
 		f := q.mostBehind()
