--- a/services/agent/agent.go
+++ b/services/agent/agent.go
@@ -256,7 +256,8 @@
 	return nil
 }
 
-// drained reports whether a leaving agent has no requests left, nor slices that it can hand over.
+// drained reports whether a leaving agent can stop: it refuses new work, no request is in flight,
+// and it owns no slices or no other agent is ready to take them over.
 func (a *Agent) drained(now time.Time) bool {
 	if !a.refusesWork(now) || a.inFlight.Load() > 0 {
 		return false
--- a/services/agent/handler.go
+++ b/services/agent/handler.go
@@ -194,8 +194,9 @@
 	return once.Answer{Outcome: request.OutcomeUnknown, Reason: reasonCut}
 }
 
-// forwardStream copies a stream as it arrives. If the upstream breaks it off, the connection to the
-// router is aborted.
+// forwardStream copies a stream to the router as it arrives. If reading from the upstream fails, it
+// aborts the connection to the router: a normal return would end the answer as if the stream were
+// complete.
 func forwardStream(w http.ResponseWriter, resp *http.Response) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(request.HeaderOutcome, string(request.OutcomeAnswered))
--- a/services/directory/status.go
+++ b/services/directory/status.go
@@ -37,12 +37,13 @@
 	Processes []ProcessStatus `json:"processes"`
 }
 
-// HasRevision reports whether every process that is not suspect has at least a revision in force.
+// HasRevision reports whether every process that is not suspect has the given revision or a higher
+// one in force.
 func (s *Status) HasRevision(rev intent.Revision) bool {
 	return !slices.ContainsFunc(s.Processes, func(p ProcessStatus) bool { return p.Revision < rev && p.State != "suspect" })
 }
 
-// Status returns this router's view of all processes.
+// Status returns this router's view of all processes: itself, the other routers and the agents.
 func (d *Directory) Status(now time.Time) Status {
 	rev := d.opts.Follower.State().Revision
 	d.mu.Lock()
@@ -67,6 +68,7 @@
 		}
 		out.Processes = append(out.Processes, p)
 	}
+	// Routers come before agents, each sorted by id.
 	slices.SortFunc(out.Processes, func(a, b ProcessStatus) int { return strings.Compare(string(b.Role)+a.ID, string(a.Role)+b.ID) })
 	return out
 }
--- a/services/dispatch/attempt.go
+++ b/services/dispatch/attempt.go
@@ -30,9 +30,11 @@
 	kindNotSent kind = "not-sent"
 	// kindUnknown means that an agent reported that the request may have run.
 	kindUnknown kind = "unknown"
-	// kindCut means that the connection broke or the answer was incomplete.
+	// kindCut means that the connection broke, or that the answer was incomplete or invalid: the
+	// request may have run.
 	kindCut kind = "cut"
-	// kindGone means that the caller disconnected or its deadline has passed.
+	// kindGone means that the caller disconnected or its deadline has passed after the request was
+	// sent: the request may have run.
 	kindGone kind = "gone"
 )
 
@@ -44,9 +46,11 @@
 	slice request.KeySlice
 	epoch once.Epoch
 	// ask marks a query for the outcome of an earlier attempt: the request must not run now.
-	ask    bool
+	ask bool
+	// logAge is how long the router has been unable to reach the log.
 	logAge time.Duration
-	body   []byte
+	// body is sent instead of the request's body if it is not nil.
+	body []byte
 }
 
 // attemptEnd is the outcome of one attempt.
@@ -63,6 +67,8 @@
 // may have run.
 func (a attemptEnd) broke() bool { return a.kind == kindCut || a.kind == kindUnknown }
 
+// result returns the result of a request whose n-th attempt, at the upstream of e, ended with a and
+// was the last one.
 func (a attemptEnd) result(n int, e membership.Entry) Result {
 	r := Result{
 		Reason: a.reason, Status: a.status, ContentType: a.contentType, Body: a.body,
@@ -123,6 +129,7 @@
 	return nil, broken(ctx, err)
 }
 
+// broken returns the outcome of an attempt that was sent and got no complete answer.
 func broken(ctx context.Context, err error) attemptEnd {
 	if ctx.Err() != nil {
 		return attemptEnd{kind: kindGone, reason: ReasonDeadline}
--- a/services/knowledge/entry.go
+++ b/services/knowledge/entry.go
@@ -12,10 +12,12 @@
 
 const (
 	// removedRetention is how long the run of an upstream is remembered after its entry was
-	// removed. A store restored from a copy lists it again; copies are some seconds old.
+	// removed. A store that was restored from a backup may list it again; backups are some seconds
+	// old.
 	removedRetention = time.Minute
-	// relistDelay is how long such a run gets no work although it is listed. The store drops
-	// entries that are not renewed within that time.
+	// relistDelay is how long a removed run gets no work after a restored store lists it again. The
+	// store drops entries that are not renewed within that time, so a run that is still listed
+	// afterwards is alive.
 	relistDelay = 5 * time.Second
 )
 
@@ -28,20 +30,23 @@
 	// is too long ago for the upstream to be used.
 	removedAt time.Time
 	expired   bool
-	// unusableUntil is the time until which the upstream gets no work, because the copy that lists
-	// it may be older than the end of the upstream.
+	// unusableUntil is the time until which the upstream gets no work: the backup that lists it may
+	// have been made before the upstream ended.
 	unusableUntil time.Time
 }
 
-// relisted returns the entry of a run that is listed again at a position. A record from a copy
-// is not newer than what was known of the run before the restore: it neither gives back an address
-// nor reverts the fact that the run is leaving or has left.
-func (e *entry) relisted(now time.Time, i upstream.Instance, at services.Position, returned bool) *entry {
+// relisted returns the entry of a run that is listed again at a position. A run that was leaving
+// stays leaving. restored reports whether the store was restored from a backup since its last read.
+// A restored store keeps the offsets of the records in the backup. A record without a higher offset
+// may then be older than the known entry: the entry keeps its position, so that the upstream does
+// not take its address back from a later one, and a run that was removed gets no work for
+// relistDelay.
+func (e *entry) relisted(now time.Time, i upstream.Instance, at services.Position, restored bool) *entry {
 	next := &entry{instance: i, at: at}
 	if e.instance.State == upstream.StateLeaving {
 		next.instance.State = upstream.StateLeaving
 	}
-	if !returned || e.at.Offset < at.Offset {
+	if !restored || e.at.Offset < at.Offset {
 		return next
 	}
 	next.at, next.unusableUntil = e.at, e.unusableUntil
--- a/services/knowledge/knowledge.go
+++ b/services/knowledge/knowledge.go
@@ -131,7 +131,7 @@
 		return fit
 	}
 	s.recordChanges(p)
-	returned := before.Known() && before.Next.Era != p.Next.Era
+	restored := before.Known() && before.Next.Era != p.Next.Era
 	listed := map[upstream.ID]bool{}
 	for _, c := range p.Changes {
 		id := upstream.ID(c.Key)
@@ -140,7 +140,7 @@
 			continue
 		}
 		listed[id] = true
-		s.put(now, *c.Value, c.At, returned)
+		s.put(now, *c.Value, c.At, restored)
 	}
 	if p.Whole {
 		for id := range s.entries {
@@ -182,16 +182,16 @@
 func (s *State) Upstreams() Watermark { return s.upstreams }
 
 // put stores an entry. A run that was leaving once never becomes ready again, but the upstream may
-// restart under its id. A late entry of an earlier run is ignored. returned reports whether the
-// entry was read from the store after its restore from a copy.
-func (s *State) put(now time.Time, i upstream.Instance, at services.Position, returned bool) {
+// restart under its id. A late entry of an earlier run is ignored. restored reports whether the
+// entry was read from the store after it was restored from a backup.
+func (s *State) put(now time.Time, i upstream.Instance, at services.Position, restored bool) {
 	e, ok := s.entries[i.ID]
 	if !ok || i.Born > e.instance.Born {
 		s.entries[i.ID] = &entry{instance: i, at: at}
 		return
 	}
 	if i.Born == e.instance.Born {
-		s.entries[i.ID] = e.relisted(now, i, at, returned)
+		s.entries[i.ID] = e.relisted(now, i, at, restored)
 	}
 }
 
--- a/services/knowledge/proof.go
+++ b/services/knowledge/proof.go
@@ -11,7 +11,7 @@
 )
 
 // rewriteWindow is the time within which the operator has rewritten the lost records after a
-// restore of the store from a copy. Until then, a log without a newer version does not prove that
+// restore of the store from a backup. Until then, a log without a newer version does not prove that
 // no newer version was accepted.
 const rewriteWindow = 2 * time.Second
 
--- a/services/once/core.go
+++ b/services/once/core.go
@@ -56,6 +56,8 @@
 	epoch  Epoch
 	state  State
 	digest request.Digest
+	// at is when the key was claimed or, once it has run, when the run ended. For a key that a
+	// router reported, it is the time of the report. The lifetime of the key counts from it.
 	at     time.Time
 	answer Answer
 	// journaled reports whether the log contains a claim of the key.
@@ -65,7 +67,7 @@
 	waiting []waiter
 }
 
-// Token identifies an attempt at one agent. The shell numbers the attempts from 1.
+// Token identifies an attempt at one agent. A Service numbers its attempts from 1.
 type Token uint64
 
 // waiter is an attempt that waits for the claim or the answer of a key.
@@ -100,16 +102,20 @@
 	cfg  Config
 	self Owner
 
-	next        services.Offset
-	window      services.Offset
-	started     bool
-	tail        services.Offset
+	// next is the offset to read from. All records from window up to next have been read.
+	next   services.Offset
+	window services.Offset
+	// started reports whether a page was read; tail was the end of the log at the first read.
+	started bool
+	tail    services.Offset
+	// lastContact is when the log last answered.
 	lastContact time.Time
 
 	slices  [Slices]sliceState
 	entries map[KeyID]*entry
 	// forbidden holds the requests that must not run any more, with the time until which this
-	// holds.
+	// holds. A router has received the answer that they did not run, so an attempt that arrives
+	// later is refused.
 	forbidden map[request.ID]time.Time
 	// unsent holds the keys whose claims wait for the next journal record.
 	unsent      []KeyID
@@ -130,7 +136,7 @@
 	ActionResolve ActionKind = "resolve"
 )
 
-// Action is something the shell must do for an attempt.
+// Action is something that the Service must do for an attempt.
 type Action struct {
 	Kind   ActionKind
 	Token  Token
@@ -163,7 +169,7 @@
 	return out
 }
 
-// Expire removes expired keys and expired entries of forbidden requests.
+// Expire removes the keys whose lifetime has passed, and the requests that are no longer forbidden.
 func (c *Core) Expire(now time.Time) {
 	for _, e := range c.entries {
 		if e.expired(now, c.cfg.Lifetime) {
@@ -177,10 +183,13 @@
 	}
 }
 
+// expired reports whether the lifetime of a key has passed. A key with a running or waiting attempt
+// does not expire.
 func (e *entry) expired(now time.Time, lifetime time.Duration) bool {
 	return !e.busy() && now.Sub(e.at) > lifetime
 }
 
+// busy reports whether an attempt runs the key or waits for it.
 func (e *entry) busy() bool {
 	return e.state == StateRunning || len(e.waiting) > 0 || e.runner != 0
 }
--- a/services/once/journal.go
+++ b/services/once/journal.go
@@ -60,6 +60,9 @@
 	}
 }
 
+// applyTakes applies the takes of a record at an offset. A take that is not based on the latest
+// take of its slice is ignored: another process was faster. While the owner of a slice is unknown,
+// a take is applied only if its writer had read all records that this process cannot judge.
 func (c *Core) applyTakes(now time.Time, off services.Offset, rec *Record) {
 	for _, t := range rec.Takes {
 		sl := &c.slices[t.Slice]
@@ -81,6 +84,9 @@
 	return sl.epoch == t.Prev
 }
 
+// setOwner applies a valid take. A slice that this process takes is settled at once in three cases:
+// the take renews a settled one, the slice never had an owner, or the previous owner has handed
+// over its table.
 func (c *Core) setOwner(now time.Time, t Take, epoch Epoch, owner Owner) {
 	sl := &c.slices[t.Slice]
 	refresh := sl.known && sl.owner == owner && sl.settled
@@ -105,7 +111,9 @@
 	}
 }
 
-// renewEpoch moves pending and idle keys to the new epoch of a slice that this process keeps.
+// renewEpoch moves the keys that have not run yet to the new epoch of a slice whose take this
+// process has renewed. Claims that were not read back are queued again, because a claim of an
+// earlier epoch is ignored.
 func (c *Core) renewEpoch(s request.KeySlice, epoch Epoch) {
 	for _, e := range c.entries {
 		if e.slice != s || e.epoch == epoch {
@@ -132,6 +140,8 @@
 	}
 }
 
+// applyClaims applies the claims of a record. A claim is ignored if it is not of the current owner
+// and epoch of its slice. A key that another owner claimed may have run there.
 func (c *Core) applyClaims(at time.Time, rec *Record) {
 	for _, cl := range rec.Claims {
 		sl := &c.slices[cl.Slice]
@@ -205,11 +215,12 @@
 	return rec
 }
 
-// SliceView is the state of a slice from which a shell decides about ownership.
+// SliceView is the state of a slice that Decide uses to choose changes of ownership.
 type SliceView struct {
-	Slice   request.KeySlice
-	Owner   Owner
-	Epoch   Epoch
+	Slice request.KeySlice
+	Owner Owner
+	Epoch Epoch
+	// Mine reports whether this process owns the slice.
 	Mine    bool
 	Settled bool
 	Frozen  bool
--- a/services/once/loops.go
+++ b/services/once/loops.go
@@ -23,7 +23,7 @@
 func (s *Service) readLoop(ctx context.Context) {
 	b := newBackoff()
 	for ctx.Err() == nil {
-		if err := s.readOnce(ctx); err != nil {
+		if err := s.readPage(ctx); err != nil {
 			s.logger.Debug().Err(err).Msg("journal read failed")
 			sleep.For(ctx, b.NextBackOff())
 			continue
@@ -32,7 +32,9 @@
 	}
 }
 
-func (s *Service) readOnce(ctx context.Context) error {
+// readPage reads the next page of the journal and applies it. It does not wait for new records
+// before the core has caught up.
+func (s *Service) readPage(ctx context.Context) error {
 	s.mu.Lock()
 	next, caught := s.core.Next(), s.core.CaughtUp()
 	s.mu.Unlock()
@@ -53,6 +55,8 @@
 	return nil
 }
 
+// writeLoop appends the queued claims to the journal. After each append it pauses for the batch
+// interval, so that the next record holds several claims.
 func (s *Service) writeLoop(ctx context.Context) {
 	b := newBackoff()
 	for {
@@ -62,7 +66,7 @@
 		case <-s.wake:
 		case <-time.After(maxRetryDelay):
 		}
-		if err := s.writeOnce(ctx); err != nil {
+		if err := s.appendBatch(ctx); err != nil {
 			s.logger.Debug().Err(err).Msg("journal append failed")
 			sleep.For(ctx, b.NextBackOff())
 			s.wakeWriter()
@@ -73,7 +77,9 @@
 	}
 }
 
-func (s *Service) writeOnce(ctx context.Context) error {
+// appendBatch appends one record of queued claims to the journal. After an error the record may or
+// may not have been added, so its claims are queued again; a duplicate claim has no effect.
+func (s *Service) appendBatch(ctx context.Context) error {
 	s.mu.Lock()
 	rec := s.core.Batch()
 	s.mu.Unlock()
--- a/services/once/submit.go
+++ b/services/once/submit.go
@@ -48,20 +48,30 @@
 
 // Reasons returned to callers.
 const (
-	ReasonNotOwner  = "not-owner"
-	ReasonMoving    = "moving"
+	// ReasonNotOwner means that this process does not own the slice in the attempt's epoch, or has
+	// not caught up with the journal yet.
+	ReasonNotOwner = "not-owner"
+	// ReasonMoving means that the slice is being handed over to another owner.
+	ReasonMoving = "moving"
+	// ReasonNoJournal means that the log is unreachable and that running without it is disabled.
 	ReasonNoJournal = "journal-unreachable"
 	// ReasonJournalWait means that the log is unreachable, but not yet for long enough from the
 	// router.
 	ReasonJournalWait = "journal-waiting"
-	ReasonFull        = "table-full"
-	ReasonKeyReused   = "key-reused"
-	ReasonForbidden   = "forbidden"
-	ReasonDeadline    = "deadline"
-	ReasonUnsettled   = "unsettled"
-	ReasonOtherOwner  = "claimed-before"
-	ReasonRunning     = "running"
-	ReasonCut         = "upstream-cut"
+	// ReasonFull means that the table has reached its maximum number of keys or size of answers.
+	ReasonFull = "table-full"
+	// ReasonKeyReused means that the key was sent earlier with a different request.
+	ReasonKeyReused = "key-reused"
+	// ReasonForbidden means that the request did not run and must not run any more.
+	ReasonForbidden = "forbidden"
+	ReasonDeadline  = "deadline"
+	// ReasonUnsettled means that another owner may have run the key without a journal.
+	ReasonUnsettled = "unsettled"
+	// ReasonOtherOwner means that another owner claimed the key and may have run it.
+	ReasonOtherOwner = "claimed-before"
+	// ReasonRunning means that the key may still run after the attempt's deadline.
+	ReasonRunning = "running"
+	ReasonCut     = "upstream-cut"
 )
 
 func notRun(reason string) Decision {
@@ -72,7 +82,10 @@
 	return Decision{Kind: DecisionAnswer, Answer: Answer{Outcome: request.OutcomeUnknown, Reason: reason}}
 }
 
-// Submit decides on an arriving attempt.
+// Submit decides on an arriving attempt. A process that does not own the slice in the attempt's
+// epoch refuses it as not run. It answers a query with unknown, because the earlier attempt may
+// have run at the owner. The refusal of forbidden requests does not apply to queries, which run
+// nothing.
 func (c *Core) Submit(now time.Time, a Attempt) Decision {
 	sl := &c.slices[a.Slice]
 	if sl.owner != c.self || sl.epoch != a.Epoch || !sl.known || !c.CaughtUp() {
@@ -186,7 +199,7 @@
 		e.wait(a)
 		return Decision{Kind: DecisionWait}
 	case StateIdle:
-		return c.runIdle(a, e)
+		return c.submitIdle(a, e)
 	case StatePending:
 	}
 	if a.AskOnly {
@@ -204,8 +217,9 @@
 	return Decision{Kind: DecisionWait}
 }
 
-// runIdle runs a claimed key that has not run.
-func (c *Core) runIdle(a Attempt, e *entry) Decision {
+// submitIdle decides on a key that has not run and whose claim is in the journal. No new claim is
+// needed, so the attempt may run at once.
+func (c *Core) submitIdle(a Attempt, e *entry) Decision {
 	if a.AskOnly {
 		c.forbid(a)
 		return notRun(ReasonForbidden)
--- a/services/peer/table.go
+++ b/services/peer/table.go
@@ -89,7 +89,8 @@
 // Position returns a number that increases whenever an entry of the table changes.
 func (t *Table) Position() uint64 { return uint64(t.position) }
 
-// put stores an entry received from a process.
+// put stores an entry. from is the process that sent it, or the zero source if this process made
+// the entry itself.
 func (t *Table) put(now time.Time, w GossipEntry, from source) {
 	e, ok := t.nodes[w.Info.Name]
 	if !ok {
--- a/services/relay/attempt.go
+++ b/services/relay/attempt.go
@@ -81,7 +81,7 @@
 			}
 		} else {
 			x.r.release(x.service, u, res, clock.Since(began), false)
-			x.logAttempt(u, res, err)
+			x.logFailedAttempt(u, res, err)
 			if res == balance.ResultBroken {
 				x.r.probeAfterBreak(ctx, x, u, sent, 0)
 			}
@@ -172,6 +172,8 @@
 	return a, balance.ResultOK, nil
 }
 
+// brokenResult returns the result of an attempt whose connection was lost. If ctx has ended, the
+// router closed the connection itself, and the upstream is not at fault.
 func (x *exchange) brokenResult(ctx context.Context) balance.Result {
 	if ctx.Err() != nil {
 		return balance.ResultCancelled
@@ -193,8 +195,10 @@
 	}
 }
 
-// receive reads the head of the answer to this request. Answers to other requests that arrive first
-// are dropped.
+// receive reads the head of the answer to this request. It skips answers to other requests that
+// arrive first on the connection, such as a duplicate of the previous answer. An answer that names
+// no request is accepted only if the request did not run or failed: otherwise a caller might get
+// the answer to another request.
 func (x *exchange) receive(a *answer) error {
 	for range maxStaleAnswers + 1 {
 		resp, err := a.conn.Receive(x.req.Method) //nolint:bodyclose // the connection owns the body
@@ -259,7 +263,7 @@
 		a.reuseConn(x.r.conns)
 	}
 	x.r.release(x.service, a.upstream, res, clock.Since(a.began), a.started)
-	x.logAttempt(a.upstream, res, err)
+	x.logFailedAttempt(a.upstream, res, err)
 }
 
 // deliverFailure retries the request elsewhere after a failure if that is allowed, or else passes
@@ -284,7 +288,7 @@
 		return false
 	}
 	x.failure = failure
-	x.logAttempt(a.upstream, balance.ResultError, fmt.Errorf("upstream %s: status %d", a.upstream.ID, a.resp.StatusCode))
+	x.logFailedAttempt(a.upstream, balance.ResultError, fmt.Errorf("upstream %s: status %d", a.upstream.ID, a.resp.StatusCode))
 	return false
 }
 
@@ -345,7 +349,10 @@
 	}
 }
 
-func (x *exchange) logAttempt(u upstream.Instance, res balance.Result, err error) {
+// logFailedAttempt logs an attempt that did not give the caller a complete answer. A cancelled
+// context means that the caller has disconnected: the upstream is not at fault, so the attempt is
+// logged at debug level.
+func (x *exchange) logFailedAttempt(u upstream.Instance, res balance.Result, err error) {
 	event := x.r.opts.Logger.Info()
 	if errors.Is(err, context.Canceled) {
 		event = x.r.opts.Logger.Debug()
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -44,10 +44,12 @@
 	opts  Options
 	conns *httpconn.Pool
 
-	mu      sync.Mutex
-	state   *knowledge.State
-	pools   map[service.ID]*serviceState
+	mu    sync.Mutex
+	state *knowledge.State
+	pools map[service.ID]*serviceState
+	// routers is the number of routers that callers use, this one included.
 	routers int
+	// leaving is when the process was ordered to stop, or zero.
 	leaving time.Time
 	// unreported is called when a request arrives for a service with groups that has ranks without
 	// a reported load.
@@ -65,7 +67,8 @@
 	probes map[upstream.Run]*probe
 	// permits grants permits for upstreams that limit their requests.
 	permits services.PermitGrantor
-	// start distinguishes this relay from earlier ones on the same VM.
+	// start is the start time in nanoseconds. It distinguishes the watermarks of this relay from
+	// those of earlier ones on the same VM, and is never 0, the start of an unset watermark.
 	start uint64
 }
 
@@ -81,7 +84,8 @@
 	coverageAt time.Time
 }
 
-// New returns a relay without a catalog or upstreams.
+// New returns a relay without a catalog or upstreams. Until SetRouters and SetPermits are called,
+// it assumes that it is the only router and grants permits itself.
 func New(o Options) *Relay {
 	r := &Relay{
 		opts: o, conns: httpconn.NewPool(), state: knowledge.New(o.Bounds.DrainTime), pools: map[service.ID]*serviceState{}, routers: 1, unreported: func(service.ID) {},
--- a/services/routing/pick.go
+++ b/services/routing/pick.go
@@ -17,7 +17,8 @@
 	slowFactor = 3
 	// recoveryTime is how long an ejected group takes to get its full share of requests back.
 	recoveryTime = 5 * time.Second
-	// initialRecoveryRatio is the share of requests with which a recovering group starts.
+	// initialRecoveryRatio is the fraction of choices in which a recovering group takes part at
+	// first.
 	initialRecoveryRatio = 0.1
 )
 
@@ -57,7 +58,8 @@
 	// progress is the latest time at which one of this router's streams received a token, or zero
 	// if there are no streams.
 	progress time.Time
-	lead     *track
+	// lead is the track of the group's first candidate. It holds the ejection state of the group.
+	lead *track
 }
 
 // groups collects the candidates by group; an upstream of a plain service forms a group by itself.
@@ -89,7 +91,7 @@
 }
 
 // applyStall uses the time since any of this router's streams received a token as the group's step
-// time, once that is too long for a step. It shows a stall before the reports do.
+// time, once that is too long for a step. A stall is thus noticed before it is reported.
 func (v *groupView) applyStall(now time.Time) {
 	if v.progress.IsZero() || v.step <= 0 {
 		return
@@ -148,16 +150,18 @@
 	return open
 }
 
-// ejected reports whether a group is left out of this choice.
+// ejected reports whether a group is left out of this choice, and updates its ejection state. A
+// slow group is left out. A group that was slow recovers over recoveryTime: the fraction of choices
+// in which it takes part rises from initialRecoveryRatio to 1.
 func (t *Tracker) ejected(now time.Time, g *groupView, median time.Duration) bool {
 	slow := median > 0 && g.step > slowFactor*median
 	l := g.lead
 	if slow {
-		l.slowSince, l.recoveringSince = now, time.Time{}
+		l.ejectedAt, l.recoveringSince = now, time.Time{}
 		return true
 	}
-	if !l.slowSince.IsZero() {
-		l.slowSince, l.recoveringSince = time.Time{}, now
+	if !l.ejectedAt.IsZero() {
+		l.ejectedAt, l.recoveringSince = time.Time{}, now
 	}
 	if l.recoveringSince.IsZero() {
 		return false
--- a/services/routing/tracker.go
+++ b/services/routing/tracker.go
@@ -26,8 +26,8 @@
 	Work int
 	// Concurrency is the number of requests that the upstream processes at a time.
 	Concurrency int
-	// Step is the group's step count and StepTime the mean duration of its latest steps; 0 for plain
-	// services.
+	// Step is the group's step count and StepTime the mean duration of its latest steps; 0 for
+	// plain services.
 	Step     group.Step
 	StepTime time.Duration
 }
@@ -56,9 +56,11 @@
 	progress time.Time
 	// stepSeen is the time at which the step count was last seen to rise.
 	stepSeen time.Time
-	// slowSince is the time of the latest choice from which the group was ejected, or zero.
-	slowSince time.Time
-	// recoveringSince is the time at which the group was readmitted, or zero.
+	// ejectedAt is the time of the latest choice from which the group was ejected as slow. It is
+	// zero if the group is not ejected.
+	ejectedAt time.Time
+	// recoveringSince is the time at which the group was readmitted. It is zero if the group is not
+	// recovering.
 	recoveringSince time.Time
 }
 
