--- a/cmd/platform_router.go
+++ b/cmd/platform_router.go
@@ -41,7 +41,7 @@
 	r := relay.New(relay.Options{
 		DataCentre: n.set.DataCentre, Bounds: n.set.Bounds, Protocol: platform.Headers{}, Metrics: m, Logger: logger,
 	})
-	m.Gauge("catalog_age_seconds", "Time since the catalog in force was last verified as the newest; NaN until that has happened once.", nil, func() float64 {
+	m.Gauge("catalog_age_seconds", "Time since the catalog in force was last known to be the newest; NaN before one is known.", nil, func() float64 {
 		age := math.NaN()
 		r.WithState(func(s *knowledge.State) {
 			if !s.CatalogProof().IsZero() {
@@ -128,8 +128,8 @@
 			return out
 		})
 	}
-	each("ranks_listed", "Ranks of model groups that accept work.", func(c relay.Coverage) int { return c.Listed })
-	each("ranks_unreported", "Ranks of model groups whose load no coordinator has recently reported to this router.", func(c relay.Coverage) int { return len(c.Unreported) })
+	each("ranks_listed", "Ranks of model groups that may take work.", func(c relay.Coverage) int { return c.Listed })
+	each("ranks_unreported", "Ranks of model groups whose load no coordinator has told this router lately.", func(c relay.Coverage) int { return len(c.Unreported) })
 }
 
 // stop shuts the router down gracefully. The router leaves the directory and serves until all
--- a/models/intent/intent.go
+++ b/models/intent/intent.go
@@ -110,7 +110,7 @@
 		var fields validator.ValidationErrors
 		if errors.As(err, &fields) {
 			f := fields[0]
-			return ErrInvalid{Field: f.Namespace(), Value: fmt.Sprint(f.Value()), Reason: "violates rule " + f.Tag() + "=" + f.Param()}
+			return ErrInvalid{Field: f.Namespace(), Value: fmt.Sprint(f.Value()), Reason: "breaks rule " + f.Tag() + "=" + f.Param()}
 		}
 		return ErrInvalid{Field: "document", Reason: err.Error()}
 	}
@@ -132,7 +132,7 @@
 		}
 		for _, u := range s.Closed {
 			if seen[u] != s.ID {
-				return ErrInvalid{Field: "services." + string(s.ID) + ".closed", Value: string(u), Reason: "is not an upstream of this service"}
+				return ErrInvalid{Field: "services." + string(s.ID) + ".closed", Value: string(u), Reason: "is no upstream of this service"}
 			}
 		}
 	}
--- a/services/agent/handler.go
+++ b/services/agent/handler.go
@@ -68,7 +68,7 @@
 type errBadHeader struct{ name, value string }
 
 func (e errBadHeader) Error() string {
-	return fmt.Sprintf("invalid header %s: value %q", e.name, e.value)
+	return fmt.Sprintf("header %s: value %q", e.name, e.value)
 }
 
 func readRequest(r *http.Request, now time.Time) (routerRequest, error) {
--- a/services/agent/metrics.go
+++ b/services/agent/metrics.go
@@ -42,8 +42,8 @@
 			return out
 		})
 	}
-	each("account_queued", "Waiting requests of an account.", false, func(s share.Account) float64 { return float64(s.Waiting) })
-	each("account_running", "Running requests of an account.", false, func(s share.Account) float64 { return float64(s.Running) })
+	each("account_queued", "Requests of an account that wait.", false, func(s share.Account) float64 { return float64(s.Waiting) })
+	each("account_running", "Requests of an account that run.", false, func(s share.Account) float64 { return float64(s.Running) })
 	each("account_weight", "Share of an account.", false, func(s share.Account) float64 { return s.Weight })
-	each("account_work_seconds_total", "Total run time of the requests of an account.", true, func(s share.Account) float64 { return s.Work.Seconds() })
+	each("account_work_seconds_total", "Time that requests of an account ran.", true, func(s share.Account) float64 { return s.Work.Seconds() })
 }
--- a/services/configlog/follower.go
+++ b/services/configlog/follower.go
@@ -171,11 +171,11 @@
 }
 
 func (e ErrConflict) Error() string {
-	return fmt.Sprintf("plan is based on revision %d but revision %d is in force: make a new plan", e.Want, e.Have)
+	return fmt.Sprintf("plan was made against revision %d, revision %d is in force: make a new plan", e.Want, e.Have)
 }
 
 // ErrNotAnchored reports that this process cannot judge confirmations at present.
-var ErrNotAnchored = eris.New("no exact configuration state known: this process cannot judge confirmations at present")
+var ErrNotAnchored = eris.New("the log is not read to its end: confirmations cannot be judged here now")
 
 // ErrOutcomeUnknown reports that a confirmation may or may not be accepted later.
 type ErrOutcomeUnknown struct {
@@ -184,7 +184,7 @@
 }
 
 func (e ErrOutcomeUnknown) Error() string {
-	return fmt.Sprintf("outcome of confirmation %s is unknown, query it again: %v", e.ID, e.Cause)
+	return fmt.Sprintf("outcome of confirmation %s is unknown, ask for it again: %v", e.ID, e.Cause)
 }
 
 // Unwrap returns the cause.
--- a/services/directory/directory.go
+++ b/services/directory/directory.go
@@ -262,7 +262,7 @@
 
 // ErrLogUnreachable reports that the log has been unreachable for so long that no slice can change
 // its owner soon.
-var ErrLogUnreachable = eris.New("the log is unreachable")
+var ErrLogUnreachable = eris.New("the log is out of reach")
 
 // outageCertainAfter is how long the log must be unreachable before requests no longer wait for it.
 const outageCertainAfter = 3 * time.Second
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -88,7 +88,7 @@
 		runs: map[string]upstream.Run{}, crashes: quarantine.NewRegister(clock.Now()), onCrash: func() {}, running: map[quarantine.Key]int{}, probes: map[upstream.Run]*probe{},
 		permits: localPermits{quota.NewLedger()}, start: uint64(max(clock.Now().UnixNano(), 1)),
 	}
-	o.Metrics.Gauge("requests_quarantined", "Requests that are refused because upstreams crashed while running them.", nil, func() float64 { return float64(r.RefusedCount(clock.Now())) })
+	o.Metrics.Gauge("requests_quarantined", "Requests that are refused because upstreams ended under them.", nil, func() float64 { return float64(r.RefusedCount(clock.Now())) })
 	r.measureConditions(o.Metrics, clock.Now)
 	return r
 }
