--- a/services/expertswitch/explore_test.go
+++ b/services/expertswitch/explore_test.go
@@ -285,8 +285,8 @@
 	t.Logf("%d switches", switched)
 }
 
-// TestExploreFound repeats schedules that exposed faults.
-func TestExploreFound(t *testing.T) {
+// TestExploreRegressions repeats schedules that exposed faults.
+func TestExploreRegressions(t *testing.T) {
 	seeds := map[string]uint64{
 		"a coordinator that restarted used its ballot again": 296885,
 	}
--- a/services/mapswitch/explore_test.go
+++ b/services/mapswitch/explore_test.go
@@ -421,8 +421,8 @@
 	}
 }
 
-// TestExploreFound repeats simulations that exposed faults.
-func TestExploreFound(t *testing.T) {
+// TestExploreRegressions repeats simulations that exposed faults.
+func TestExploreRegressions(t *testing.T) {
 	for name, seed := range map[string]uint64{"a takeover disarmed a version that no rank was armed with": 0, "a takeover looked before it had raised the fence": 17, "a late release of an earlier change ended the hold of the next": 2969} {
 		t.Run(name, func(t *testing.T) { explore(t, seed, 1500, false, false, false) })
 	}
--- a/services/once/explore_test.go
+++ b/services/once/explore_test.go
@@ -530,8 +530,8 @@
 	}
 }
 
-// TestExploreFound repeats schedules that exposed faults.
-func TestExploreFound(t *testing.T) {
+// TestExploreRegressions repeats schedules that exposed faults.
+func TestExploreRegressions(t *testing.T) {
 	seeds := map[string]uint64{
 		"a handed-over key ran without its journal": 289067,
 	}
--- a/tests/replay/rest_test.go
+++ b/tests/replay/back_off_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// TestRestingRanks simulates a group in which some ranks refuse everything for some seconds and
+// TestBackingOffRanks simulates a group in which some ranks refuse everything for some seconds and
 // request a back-off of three seconds. These ranks look idle: if routers ignored the back-off, most
 // requests would be sent there first, and those whose second attempt is refused too are rejected.
 // Each of many routers would have to be refused by each of these ranks, so coordinators must learn
 // of the back-off as well.
-func TestRestingRanks(t *testing.T) {
+func TestBackingOffRanks(t *testing.T) {
 	cases := map[string]struct {
 		routers, ranks, shedding int
 		load                     float64
--- a/tests/replay/limit_test.go
+++ b/tests/replay/limit_test.go
@@ -509,9 +509,9 @@
 	}
 }
 
-// TestLimitFew sends all callers to a fifth of the routers, as when those of other data centres are
+// TestLimitFewRouters sends all callers to a fifth of the routers, as when those of other data centres are
 // unused. These routers must be able to use the quota that the others leave.
-func TestLimitFew(t *testing.T) {
+func TestLimitFewRouters(t *testing.T) {
 	for size, p := range limitSizes {
 		for _, limit := range []float64{1, 10} {
 			t.Run(fmt.Sprintf("%s, %v", size, limit), func(t *testing.T) {
@@ -522,10 +522,10 @@
 	}
 }
 
-// TestLimitEnds makes an upstream limit its requests for a while, and checks that the routers use
+// TestLimitRemoved makes an upstream limit its requests for a while, and checks that the routers use
 // it again soon after the limit ends. Most routers have no request there whose answer would report
 // the end.
-func TestLimitEnds(t *testing.T) {
+func TestLimitRemoved(t *testing.T) {
 	const ends, learnTime = 20 * time.Second, 8 * time.Second
 	for size, p := range limitSizes {
 		t.Run(size, func(t *testing.T) {
--- a/tests/replay/replay_test.go
+++ b/tests/replay/replay_test.go
@@ -113,11 +113,11 @@
 	}
 }
 
-// TestLostPower simulates the recovery from a complete power loss: routers have no state about
+// TestPowerLoss simulates the recovery from a complete power loss: routers have no state about
 // their callers, callers are on their last attempt, and groups have not formed yet. Hardly any
 // caller may be lost because a router tried a rank that could not accept the request, took a queue
 // for stalled before it had admitted any request, or took a last attempt for a first one.
-func TestLostPower(t *testing.T) {
+func TestPowerLoss(t *testing.T) {
 	cases := map[string]struct {
 		pattern        string
 		routers, ranks int
@@ -217,10 +217,10 @@
 	}
 }
 
-// TestGroupsAlike simulates each load with one group and with the same ranks in three groups, which
+// TestOneAndThreeGroups simulates each load with one group and with the same ranks in three groups, which
 // must do about as well. The queues that routers report apply to the whole service, and the
 // coordinator of each group reports them back.
-func TestGroupsAlike(t *testing.T) {
+func TestOneAndThreeGroups(t *testing.T) {
 	for name, p := range patterns {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -29,8 +29,8 @@
 	play(t, *seedFlag, *forFlag, *sizeFlag, faults)
 }
 
-// TestSoakFound replays plans that have found a fault.
-func TestSoakFound(t *testing.T) {
+// TestSoakRegressions replays plans that have found a fault.
+func TestSoakRegressions(t *testing.T) {
 	cases := map[string]struct {
 		seed     uint64
 		duration time.Duration
