--- a/cmd/platform_router.go
+++ b/cmd/platform_router.go
@@ -43,7 +43,7 @@
 	})
 	m.Gauge("catalog_age_seconds", "Time since the catalog in force was last known to be the newest; NaN before one is known.", nil, func() float64 {
 		age := math.NaN()
-		r.Know(func(s *knowledge.State) {
+		r.WithState(func(s *knowledge.State) {
 			if !s.CatalogProof().IsZero() {
 				age = s.CatalogAge(clock.Now()).Seconds()
 			}
@@ -100,7 +100,7 @@
 	}
 	n.reloader.onReload(func(set setting.Node) {
 		r.Reload(set.Seeds, set.Bounds)
-		rl.Rebound(clock.Now(), set.Bounds)
+		rl.SetBounds(clock.Now(), set.Bounds)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
@@ -120,7 +120,7 @@
 // registerCoverageMetrics registers the metrics for the numbers of listed and unreported ranks.
 func registerCoverageMetrics(m *metrics.Metrics, r *relay.Relay) {
 	each := func(name, help string, count func(relay.Coverage) int) {
-		m.Each(name, help, "service", false, func() []metrics.Sample {
+		m.LabelledValues(name, help, "service", false, func() []metrics.Sample {
 			var out []metrics.Sample
 			for _, c := range r.Coverage(clock.Now()) {
 				out = append(out, metrics.Sample{Label: string(c.Service), Value: float64(count(c))})
@@ -138,7 +138,7 @@
 func (p *entryProcess) stop(ctx context.Context) error {
 	start := clock.Now()
 	p.logger.Info().Int("active", p.relay.Active()).Msg("stop")
-	p.relay.Leave(start)
+	p.relay.StartLeaving(start)
 	p.router.Leave(ctx)
 	deadline := start.Add(p.node.set.Grace - killMargin)
 	for now := start; now.Before(deadline) && (now.Sub(start) < addressCacheTime || p.relay.Active() > 0); now = clock.Now() {
--- a/modules/httpconn/httpconn_test.go
+++ b/modules/httpconn/httpconn_test.go
@@ -35,7 +35,7 @@
 		t.Fatalf("body %q, %v", body, err)
 	}
 	if idleTime, ok := httpconn.Reusable(resp); ok {
-		p.Give(time.Now(), c, idleTime)
+		p.Put(time.Now(), c, idleTime)
 	}
 	return reused
 }
@@ -91,7 +91,7 @@
 					conn.Close()
 					return
 				}
-				p.Give(time.Now(), conn, time.Minute)
+				p.Put(time.Now(), conn, time.Minute)
 			}
 			t.Error("the connection was used again")
 		})
@@ -118,7 +118,7 @@
 	if err := httpconn.Drain(resp, 10); err != nil {
 		t.Fatal(err)
 	}
-	p.Give(time.Now(), c, time.Minute)
+	p.Put(time.Now(), c, time.Minute)
 	if other, reused, err := p.Take(t.Context(), time.Now(), address); err != nil || reused {
 		t.Errorf("reused %t, %v", reused, err)
 	} else {
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestUnreached checks that connecting to an address without a listener fails at once.
-func TestUnreached(t *testing.T) {
+// TestTakeWithoutListener checks that connecting to an address without a listener fails at once.
+func TestTakeWithoutListener(t *testing.T) {
 	p := httpconn.NewPool()
 	if c, _, err := p.Take(t.Context(), time.Now(), "127.0.0.1:1"); err == nil || c != nil || p.Opened.Load() != 0 {
 		t.Errorf("connection %v, %v", c, err)
--- a/services/agent/coordinate.go
+++ b/services/agent/coordinate.go
@@ -89,7 +89,7 @@
 // recoverRound completes or aborts a round that an earlier coordinator may have left open.
 func (s *switcher) recoverRound(ctx context.Context, coord *expertswitch.Coordinator, g service.Group) {
 	if b, err := s.promised(ctx); err == nil {
-		coord.Seen(b)
+		coord.ObserveBallot(b)
 	}
 	res := s.round(ctx, coord, g, nil)
 	s.recordEvent(g, "round", fmt.Sprintf("result=%s purpose=recover", res))
@@ -127,7 +127,7 @@
 	res := s.round(ctx, coord, g, plan.Map)
 	s.recordEvent(g, "round", fmt.Sprintf("result=%s reason=%s moves=%d", res, plan.Reason, plan.Moves))
 	if res == expertswitch.ResultSwitched {
-		planner.Switched(clock.Now(), m)
+		planner.RecordSwitch(clock.Now(), m)
 	}
 	return nil
 }
@@ -178,7 +178,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return expertswitch.ResultGivenUp
+			return expertswitch.ResultTimedOut
 		case a := <-replies:
 			w.send(rctx, coord.Receive(clock.Now(), a.from, a.reply))
 		case <-ticker.C:
--- a/services/balance/group.go
+++ b/services/balance/group.go
@@ -43,7 +43,8 @@
 	// Skew is the ratio of the heaviest rank's load to the mean under the current map. It includes
 	// the time that ranks take, so it covers slow ranks as well.
 	Skew float64
-	// Backlog holds the waiting requests. Coordinators do not set it; it is filled in by Book.
+	// Backlog holds the waiting requests. Coordinators do not set it; it is filled in by
+	// RouterRegistry.
 	Backlog Backlog
 	// Ranks lists the load of each rank.
 	Ranks []RankLoad
@@ -100,7 +101,7 @@
 		}
 		s := p.state(id)
 		s.report, s.reportedAt, s.valid, s.started, s.ended, s.group = r, now, valid, 0, 0, g.ID
-		s.places, s.allotted = g.Places[r.Address], g.Places != nil
+		s.slots, s.allotted = g.Places[r.Address], g.Places != nil
 		s.counted, s.lastReported = s.lastReported, s.unstarted
 		if s.unstarted > 0 {
 			reply[r.Address] = s.unstarted
--- a/services/balance/pool.go
+++ b/services/balance/pool.go
@@ -82,9 +82,9 @@
 	// started and ended count this router's answers that have begun and ended since the report.
 	started, ended int
 	report         RankLoad
-	// places is the number of requests that the report still allows this router to send. allotted
-	// reports whether the report sets places at all.
-	places   int
+	// slots is the number of requests that the report still allows this router to send. allotted
+	// reports whether the report sets slots at all.
+	slots    int
 	allotted bool
 	// group is the rank's group, set by the first report.
 	group group.ID
@@ -135,8 +135,8 @@
 // Conditions returns the conditions that the upstreams report in their answers.
 func (p *Pool) Conditions() *condition.Register { return p.conditions }
 
-// DrawBy sets the source of random numbers in [0, 1), so that choices are reproducible.
-func (p *Pool) DrawBy(random func() float64) { p.random = random }
+// SetRandom sets the source of random numbers in [0, 1), so that choices are reproducible.
+func (p *Pool) SetRandom(random func() float64) { p.random = random }
 
 func (p *Pool) state(id upstream.Run) *state {
 	s, ok := p.states[id]
@@ -163,8 +163,8 @@
 	return float64(s.inFlight * max(routers, 1))
 }
 
-// Ask holds the requirements of a request for an upstream.
-type Ask struct {
+// PickOptions holds the requirements of a request for an upstream.
+type PickOptions struct {
 	// Engine is nil for plain services.
 	Engine *catalog.Engine
 	// Bounds applies to each upstream and to their mean; above it the request waits. 0 means no
@@ -177,7 +177,7 @@
 }
 
 // Pick returns the upstream with the least load, or false if none has room.
-func (p *Pool) Pick(now time.Time, cands []upstream.Instance, a Ask) (upstream.Instance, bool) {
+func (p *Pool) Pick(now time.Time, cands []upstream.Instance, a PickOptions) (upstream.Instance, bool) {
 	best, bestScore := -1, math.Inf(1)
 	p.rotation++
 	if a.Bounds.Mean > 0 && !p.allotted(now, cands) && p.total(now, cands, a.Routers) >= float64(a.Bounds.Mean*len(cands)) {
@@ -210,7 +210,7 @@
 
 // estimator estimates the load of upstreams without a fresh report.
 type estimator struct {
-	ask Ask
+	ask PickOptions
 	// mixed reports whether only some of the upstreams have a fresh report.
 	mixed bool
 	// others estimates the requests of other routers at each upstream without a fresh report,
@@ -224,7 +224,7 @@
 
 // estimator returns the load estimator for a request. If no upstream has a fresh report, the
 // estimate is based on this router's own sends, which are equally incomplete for all of them.
-func (p *Pool) estimator(now time.Time, cands []upstream.Instance, a Ask) estimator {
+func (p *Pool) estimator(now time.Time, cands []upstream.Instance, a PickOptions) estimator {
 	v := estimator{ask: a, weight: 1}
 	stale, own := 0, 0
 	for _, c := range cands {
@@ -243,10 +243,12 @@
 }
 
 // load estimates the requests at an upstream. One of many routers has nothing in flight at most
-// ranks. Next to reported ranks, those of an unreported group would all look idle, and all routers
-// would send there first. So the mean of the group is added to this router's sends to the rank. In
-// replays of 31 routers and three groups of 24 ranks, one of them without a leader, this earns 1.00
-// of the credit of a calm load, and 0.37 without it.
+// ranks. Next to ranks with a fresh report, those without one would all look idle, and all routers
+// would send there first. So the estimated mean over all ranks without a fresh report is added to
+// this router's sends to the rank. A rank without any valid report is weighted in addition, as its
+// group is assumed to be on its first map. In replays of 31 routers and three groups of 24 ranks,
+// one of them without a leader, this earns 1.00 of the credit that is earned under a calm load, and
+// 0.37 without it.
 func (v *estimator) load(now time.Time, p *Pool, s *state) float64 {
 	switch {
 	case !v.mixed || s.fresh(now):
@@ -260,8 +262,8 @@
 
 // limit returns the number of requests that an upstream may have. A group without a leader stays on
 // its first map, or on a map that no longer fits the demand: with as many streams as the others its
-// passes exceed the goal. In the same replays with half as much load again, a limit based on the
-// skew of a first map earns 1.00, and the limit of the other groups 0.88.
+// passes exceed the goal. In the same replays with 1.5 times the load, a limit based on the skew of
+// a first map earns 1.00, and the limit of the other groups 0.88.
 func (v *estimator) limit(now time.Time, s *state) int {
 	if v.mixed && !s.reported(now) && v.ask.Leaderless.Mean > 0 {
 		return v.ask.Leaderless.Mean
@@ -275,7 +277,7 @@
 // report would send where all others do.
 func (s *state) room(now time.Time, load, others float64, limit int) bool {
 	switch {
-	case s.allotted && s.reported(now) && s.places > 0:
+	case s.allotted && s.reported(now) && s.slots > 0:
 		return true
 	case s.allotted && s.fresh(now):
 		return false
@@ -349,7 +351,7 @@
 	s := p.state(id)
 	s.inFlight++
 	s.unstarted++
-	s.places--
+	s.slots--
 }
 
 // Started records that the answer to an attempt has begun.
@@ -368,7 +370,7 @@
 	if started {
 		// This router may reuse the slot of a stream that has ended until the next report.
 		s.ended++
-		s.places++
+		s.slots++
 	} else {
 		s.unstarted--
 	}
--- a/services/entry/entry_test.go
+++ b/services/entry/entry_test.go
@@ -37,17 +37,17 @@
 
 type read[T any] struct {
 	changes []services.Change[T]
-	next    services.Place
+	next    services.Position
 	err     error
 	// whole reports whether a snapshot is expected; from is the expected start of a read of
 	// changes.
 	whole bool
-	from  services.Place
+	from  services.Position
 }
 
 var errWrongRead = errors.New("wrong read")
 
-func (s *script[T]) respond(ctx context.Context, whole bool, from services.Place) ([]services.Change[T], services.Place, error) {
+func (s *script[T]) respond(ctx context.Context, whole bool, from services.Position) ([]services.Change[T], services.Position, error) {
 	select {
 	case r := <-s.reads:
 		if r.whole != whole || r.from != from {
@@ -55,15 +55,15 @@
 		}
 		return r.changes, r.next, r.err
 	case <-ctx.Done():
-		return nil, services.Place{}, ctx.Err()
+		return nil, services.Position{}, ctx.Err()
 	}
 }
 
-func (s *script[T]) Snapshot(ctx context.Context) ([]services.Change[T], services.Place, error) {
-	return s.respond(ctx, true, services.Place{})
+func (s *script[T]) Snapshot(ctx context.Context) ([]services.Change[T], services.Position, error) {
+	return s.respond(ctx, true, services.Position{})
 }
 
-func (s *script[T]) Changes(ctx context.Context, from services.Place, _ time.Duration) ([]services.Change[T], services.Place, error) {
+func (s *script[T]) Changes(ctx context.Context, from services.Position, _ time.Duration) ([]services.Change[T], services.Position, error) {
 	return s.respond(ctx, false, from)
 }
 
@@ -74,13 +74,13 @@
 	change := func(k string) []services.Change[int] { return []services.Change[int]{{Key: k, Value: &one}} }
 	reads := []read[int]{
 		{whole: true, err: errors.New("store is out")},
-		{whole: true, changes: change("a"), next: place(4)},
-		{from: place(4), changes: change("b"), next: place(5)},
-		{from: place(5), err: errors.New("store is out")},
-		{from: place(5), next: place(5)},
-		{from: place(5), err: services.ErrTrimmed{From: place(5)}},
-		{whole: true, changes: change("c"), next: place(9)},
-		{from: place(9), next: place(9)},
+		{whole: true, changes: change("a"), next: position(4)},
+		{from: position(4), changes: change("b"), next: position(5)},
+		{from: position(5), err: errors.New("store is out")},
+		{from: position(5), next: position(5)},
+		{from: position(5), err: services.ErrTrimmed{From: position(5)}},
+		{whole: true, changes: change("c"), next: position(9)},
+		{from: position(9), next: position(9)},
 	}
 	s := &script[int]{reads: make(chan read[int], len(reads))}
 	for _, r := range reads {
@@ -90,7 +90,7 @@
 	defer cancel()
 	var got []string
 	var failures []error
-	var notified []services.Place
+	var notified []services.Position
 	var mark knowledge.Watermark
 	f := &follower[int]{
 		feed: s, wake: make(chan struct{}, 1),
@@ -122,7 +122,7 @@
 	if want := []string{"a*", "b", "", "c*", ""}; !slices.Equal(got, want) || len(failures) != 2 || errors.Is(failures[1], errWrongRead) {
 		t.Errorf("took %q, want %q; failures %v", got, want, failures)
 	}
-	if !slices.Equal(notified, []services.Place{place(4), place(5), place(9)}) {
+	if !slices.Equal(notified, []services.Position{position(4), position(5), position(9)}) {
 		t.Errorf("notified the others at %v, want one notification for each advance", notified)
 	}
 }
@@ -134,7 +134,7 @@
 	s := &script[int]{reads: make(chan read[int])}
 	ctx, cancel := context.WithCancel(t.Context())
 	var mu sync.Mutex
-	mark := knowledge.Watermark{Next: place(4), AsOf: time.Now().Add(time.Hour)}
+	mark := knowledge.Watermark{Next: position(4), AsOf: time.Now().Add(time.Hour)}
 	taken := make(chan knowledge.Segment[int], 1)
 	answers := make(chan error)
 	f := &follower[int]{
@@ -160,7 +160,7 @@
 			return knowledge.FitNew
 		},
 		pull: func(context.Context, string) (knowledge.Segment[int], error) {
-			return knowledge.Segment[int]{From: place(4), Next: place(5)}, <-answers
+			return knowledge.Segment[int]{From: position(4), Next: position(5)}, <-answers
 		},
 	}
 	done := make(chan struct{})
@@ -171,7 +171,7 @@
 	f.pullIfAhead("a", FeedProgress{Known: true, Next: 4})
 	f.pullIfAhead("b", FeedProgress{Known: true, Next: 5})
 	answers <- nil
-	if p := <-taken; p.Next != place(5) {
+	if p := <-taken; p.Next != position(5) {
 		t.Errorf("applied a segment up to %s", p.Next)
 	}
 	f.pullIfAhead("c", FeedProgress{Known: true, Next: 8})
@@ -180,12 +180,12 @@
 	f.behind = f.behind.Add(-maxBehind)
 	f.mu.Unlock()
 	f.wakeUp()
-	s.reads <- read[int]{from: place(5), next: place(8)}
-	if p := <-taken; p.From != place(5) || p.Next != place(8) {
+	s.reads <- read[int]{from: position(5), next: position(8)}
+	if p := <-taken; p.From != position(5) || p.Next != position(8) {
 		t.Errorf("read from %s up to %s, want 5 to 8", p.From, p.Next)
 	}
 	select {
-	case s.reads <- read[int]{from: place(8), next: place(8)}:
+	case s.reads <- read[int]{from: position(8), next: position(8)}:
 		t.Error("the feed was read although nothing was missed")
 	default:
 	}
@@ -198,14 +198,14 @@
 
 type silentFeed[T any] struct{}
 
-func (silentFeed[T]) Snapshot(ctx context.Context) ([]services.Change[T], services.Place, error) {
+func (silentFeed[T]) Snapshot(ctx context.Context) ([]services.Change[T], services.Position, error) {
 	<-ctx.Done()
-	return nil, services.Place{}, ctx.Err()
+	return nil, services.Position{}, ctx.Err()
 }
 
-func (silentFeed[T]) Changes(ctx context.Context, _ services.Place, _ time.Duration) ([]services.Change[T], services.Place, error) {
+func (silentFeed[T]) Changes(ctx context.Context, _ services.Position, _ time.Duration) ([]services.Change[T], services.Position, error) {
 	<-ctx.Done()
-	return nil, services.Place{}, ctx.Err()
+	return nil, services.Position{}, ctx.Err()
 }
 
 func (silentStore) Catalogs() services.Feed[catalog.Catalog] { return silentFeed[catalog.Catalog]{} }
@@ -213,10 +213,12 @@
 func (silentStore) Upstreams() services.Feed[upstream.Instance] {
 	return silentFeed[upstream.Instance]{}
 }
-func (silentStore) Nodes() services.Feed[peer.Info]          { return silentFeed[peer.Info]{} }
-func (silentStore) Refused() services.Feed[quarantine.Entry] { return silentFeed[quarantine.Entry]{} }
+func (silentStore) Nodes() services.Feed[peer.Info] { return silentFeed[peer.Info]{} }
+func (silentStore) Quarantined() services.Feed[quarantine.Entry] {
+	return silentFeed[quarantine.Entry]{}
+}
 
-func (silentStore) PutRefused(ctx context.Context, _ []quarantine.Entry, _ []string) error {
+func (silentStore) PutQuarantined(ctx context.Context, _ []quarantine.Entry, _ []string) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -284,15 +286,15 @@
 		a, ra, address := router(t, "a")
 		old := time.Now().Add(-300 * time.Millisecond)
 		u := upstream.Instance{ID: "u", Service: "s", State: upstream.StateReady}
-		ra.Know(func(s *knowledge.State) {
+		ra.WithState(func(s *knowledge.State) {
 			c := catalog.Catalog{Version: 7, Services: []catalog.Service{{ID: "s"}}, Accounts: []catalog.Account{{ID: "x", Keys: []catalog.Key{"k"}}}}
-			s.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(5), AsOf: old, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
-			s.ApplyUpstreams(old, knowledge.Segment[upstream.Instance]{Whole: true, Next: place(9), AsOf: old, Changes: []services.Change[upstream.Instance]{{Key: "u", Value: &u}}})
+			s.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: position(5), AsOf: old, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
+			s.ApplyUpstreams(old, knowledge.Segment[upstream.Instance]{Whole: true, Next: position(9), AsOf: old, Changes: []services.Change[upstream.Instance]{{Key: "u", Value: &u}}})
 		})
 		a.becomeReady()
 		b, rb, _ := router(t, "b", address)
 		until(t, "router b ready", b.Ready)
-		rb.Know(func(s *knowledge.State) {
+		rb.WithState(func(s *knowledge.State) {
 			if s.Index().Version != 7 || s.Index().Account("k") == nil || len(s.Usable(time.Now(), "s")) != 1 {
 				t.Errorf("borrowed version %d", s.Index().Version)
 			}
@@ -323,21 +325,21 @@
 // Era implements Store.
 func (k *refusedStore) Era() services.Era { return k.era }
 
-func (k *refusedStore) Refused() services.Feed[quarantine.Entry] { return k }
+func (k *refusedStore) Quarantined() services.Feed[quarantine.Entry] { return k }
 
-func (k *refusedStore) Snapshot(context.Context) ([]services.Change[quarantine.Entry], services.Place, error) {
+func (k *refusedStore) Snapshot(context.Context) ([]services.Change[quarantine.Entry], services.Position, error) {
 	var out []services.Change[quarantine.Entry]
 	for name, e := range k.entries {
 		out = append(out, services.Change[quarantine.Entry]{Key: name, Value: &e})
 	}
-	return out, services.Place{Era: k.era}, nil
+	return out, services.Position{Era: k.era}, nil
 }
 
-func (k *refusedStore) Changes(context.Context, services.Place, time.Duration) ([]services.Change[quarantine.Entry], services.Place, error) {
-	return nil, services.Place{}, errWrongRead
+func (k *refusedStore) Changes(context.Context, services.Position, time.Duration) ([]services.Change[quarantine.Entry], services.Position, error) {
+	return nil, services.Position{}, errWrongRead
 }
 
-func (k *refusedStore) PutRefused(_ context.Context, entries []quarantine.Entry, drop []string) error {
+func (k *refusedStore) PutQuarantined(_ context.Context, entries []quarantine.Entry, drop []string) error {
 	for _, e := range entries {
 		k.entries[e.Name()] = e
 	}
@@ -374,7 +376,7 @@
 	if got := r.opts.Relay.RefusedCount(time.Now()); got != 1 {
 		t.Errorf("%d requests are refused after a start, want 1", got)
 	}
-	r.opts.Relay.WithCrashes(func(g *quarantine.Register) { g.Ran(time.Now(), k, quarantine.Finished) })
+	r.opts.Relay.WithCrashes(func(g *quarantine.Register) { g.RecordRun(time.Now(), k, quarantine.CompletedRun) })
 	keep(r, known, 0)
 }
 
@@ -401,7 +403,7 @@
 	crash(one)
 	keep("one is refused", 1)
 	first := maps.Clone(store.entries)
-	r.opts.Relay.WithCrashes(func(g *quarantine.Register) { g.Ran(time.Now(), one, quarantine.Finished) })
+	r.opts.Relay.WithCrashes(func(g *quarantine.Register) { g.RecordRun(time.Now(), one, quarantine.CompletedRun) })
 	crash(two)
 	keep("another one is", 1)
 	second := maps.Clone(store.entries)
--- a/services/entry/gossip.go
+++ b/services/entry/gossip.go
@@ -115,7 +115,7 @@
 	if err != nil || self.Cores <= 0 {
 		return false // without measurements the process is not considered busy
 	}
-	fraction := r.meter.Note(now, used) / self.Cores
+	fraction := r.meter.Observe(now, used) / self.Cores
 	return fraction > busyAbove || self.Busy && fraction > idleBelow
 }
 
@@ -189,7 +189,7 @@
 // known.
 func (r *Router) gossipFor(now time.Time, to string) GossipExchange {
 	var h GossipExchange
-	r.opts.Relay.Know(func(s *knowledge.State) {
+	r.opts.Relay.WithState(func(s *knowledge.State) {
 		h.Catalogs, h.Upstreams = catalogProgress(now, s), progressOf(now, s.Upstreams())
 	})
 	h.Marks = r.watermarks()
--- a/services/once/core.go
+++ b/services/once/core.go
@@ -52,10 +52,12 @@
 // entry is an owner's record of one key.
 type entry struct {
 	key    KeyID
-	slice  request.Slice
+	slice  request.KeySlice
 	epoch  Epoch
 	state  State
 	digest request.Digest
+	// at is when the key was claimed or, once it has run, when the run ended. For a key that a
+	// router reported, it is the time of the report. The lifetime of the key counts from it.
 	at     time.Time
 	answer Answer
 	// journaled reports whether the log contains a claim of the key.
@@ -65,7 +67,7 @@
 	waiting []waiter
 }
 
-// Token identifies an attempt at one agent. The shell numbers the attempts from 1.
+// Token identifies an attempt at one agent. A Service numbers its attempts from 1.
 type Token uint64
 
 // waiter is an attempt that waits for the claim or the answer of a key.
@@ -100,22 +102,26 @@
 	cfg  Config
 	self Owner
 
-	next        services.Offset
-	window      services.Offset
-	started     bool
-	tail        services.Offset
+	// next is the offset to read from. All records from window up to next have been read.
+	next   services.Offset
+	window services.Offset
+	// started reports whether a page was read; tail was the end of the log at the first read.
+	started bool
+	tail    services.Offset
+	// lastContact is when the log last answered.
 	lastContact time.Time
 
 	slices  [Slices]sliceState
 	entries map[KeyID]*entry
 	// forbidden holds the requests that must not run any more, with the time until which this
-	// holds.
+	// holds. A router has received the answer that they did not run, so an attempt that arrives
+	// later is refused.
 	forbidden map[request.ID]time.Time
 	// unsent holds the keys whose claims wait for the next journal record.
 	unsent      []KeyID
 	answerBytes int
 	// receivedTables holds the tables received for slices that this process is about to take.
-	receivedTables map[request.Slice]Table
+	receivedTables map[request.KeySlice]Table
 	actions        []Action
 }
 
@@ -130,7 +136,7 @@
 	ActionResolve ActionKind = "resolve"
 )
 
-// Action is something the shell must do for an attempt.
+// Action is something that the Service must do for an attempt.
 type Action struct {
 	Kind   ActionKind
 	Token  Token
@@ -141,7 +147,7 @@
 func NewCore(cfg Config, self Owner) *Core {
 	return &Core{
 		cfg: cfg, self: self, entries: map[KeyID]*entry{},
-		forbidden: map[request.ID]time.Time{}, receivedTables: map[request.Slice]Table{},
+		forbidden: map[request.ID]time.Time{}, receivedTables: map[request.KeySlice]Table{},
 	}
 }
 
@@ -153,17 +159,17 @@
 func (c *Core) CaughtUp() bool { return c.started && c.next >= c.tail }
 
 // Owned returns the slices that this process owns, with their epochs.
-func (c *Core) Owned() map[request.Slice]Epoch {
-	out := map[request.Slice]Epoch{}
+func (c *Core) Owned() map[request.KeySlice]Epoch {
+	out := map[request.KeySlice]Epoch{}
 	for i := range c.slices {
 		if c.slices[i].owner == c.self && c.slices[i].known {
-			out[request.Slice(i)] = c.slices[i].epoch
+			out[request.KeySlice(i)] = c.slices[i].epoch
 		}
 	}
 	return out
 }
 
-// Expire removes expired keys and expired entries of forbidden requests.
+// Expire removes the keys whose lifetime has passed, and the requests that are no longer forbidden.
 func (c *Core) Expire(now time.Time) {
 	for _, e := range c.entries {
 		if e.expired(now, c.cfg.Lifetime) {
@@ -177,10 +183,13 @@
 	}
 }
 
+// expired reports whether the lifetime of a key has passed. A key with a running or waiting attempt
+// does not expire.
 func (e *entry) expired(now time.Time, lifetime time.Duration) bool {
 	return !e.busy() && now.Sub(e.at) > lifetime
 }
 
+// busy reports whether an attempt runs the key or waits for it.
 func (e *entry) busy() bool {
 	return e.state == StateRunning || len(e.waiting) > 0 || e.runner != 0
 }
--- a/services/rank/driver.go
+++ b/services/rank/driver.go
@@ -24,7 +24,7 @@
 	// delta is the difference of the map that is being prepared from the one in use; nil if the
 	// full map is sent. deal describes the map in use if it is the one that engines start with.
 	delta *expertmap.Change
-	deal  *expertmap.Deal
+	deal  *expertmap.InitialMap
 }
 
 const (
@@ -65,7 +65,9 @@
 	return true
 }
 
-// change brings a new map into force.
+// change switches the group to a new map. If it succeeds, the map is pending until the ranks begin
+// the pass that uses it, and the planner learns how long the loading took. If it is abandoned
+// because demand has shifted, the planner may plan the next change at once.
 func (d *driver) change(ctx context.Context, status []services.RankStatus, next *expertmap.Map) {
 	began := clock.Now()
 	m := mapswitch.Start(began, d.c.fence+1, d.self(), status, next.Version, next.Layers)
@@ -104,8 +106,8 @@
 }
 
 // dealOf describes the map that engines start with, of the same size as another map.
-func dealOf(m *expertmap.Map, e *catalog.Engine) expertmap.Deal {
-	deal := expertmap.Deal{Layers: len(m.Layers)}
+func dealOf(m *expertmap.Map, e *catalog.Engine) expertmap.InitialMap {
+	deal := expertmap.InitialMap{Layers: len(m.Layers)}
 	if deal.Layers > 0 {
 		deal.Ranks = len(m.Layers[0].Slots)
 	}
@@ -134,7 +136,8 @@
 	return clock.Since(m.HeldAt())
 }
 
-// self returns the coordinator's own rank.
+// self returns the coordinator's own rank, or 0 if no rank is recorded for its agent: the engine
+// beside it has not answered since the coordinator began.
 func (d *driver) self() group.Rank {
 	for r, m := range d.c.members {
 		if m.info.Name == d.c.a.opts.Self.Name {
--- a/services/rank/report.go
+++ b/services/rank/report.go
@@ -15,8 +15,8 @@
 // logInterval is the time between two log lines on the load of the group.
 const logInterval = 500 * time.Millisecond
 
-// missingAfter is how long a rank may be silent before its group is reported as incomplete; some
-// rounds.
+// missingAfter is how long a rank may be silent before its group is reported as incomplete: more
+// than five poll rounds of pollInterval.
 const missingAfter = 400 * time.Millisecond
 
 // logLoad logs the load of the group at intervals.
@@ -52,16 +52,16 @@
 	return balance.Pass(c.engine, l).Seconds() * 1000
 }
 
-// reportToRouters sends routers the load of the group, and each of them its quota.
+// reportToRouters sends routers the load of the group, and each of them its allotment.
 func (c *coordinator) reportToRouters(ctx context.Context, now time.Time) {
 	g := c.load(now)
 	c.latest.Store(&g)
-	targets := c.book.Targets(now, c.routers)
-	number, slots := c.book.Report(now, targets, g.Ranks, c.bounds(g))
+	targets := c.registry.Targets(now, c.routers)
+	number, slots := c.registry.StartReport(now, targets, g.Ranks, c.bounds(g))
 	for _, n := range targets {
 		routerLoad := g
 		routerLoad.Places = slots[n.Name]
-		report, list := c.book.Pack(n.Name, routerLoad)
+		report, list := c.registry.Pack(n.Name, routerLoad)
 		report.Authority, report.Coordinator = uint64(c.own.Authority), c.a.opts.Self.Address
 		c.sending.Go(func() {
 			cctx, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -71,14 +71,14 @@
 				c.logger.Debug().Str("router", n.Name).Err(err).Msg("router-silent")
 				return
 			}
-			c.book.Answered(clock.Now(), n, number, list, r)
+			c.registry.RecordReply(clock.Now(), n, number, list, r)
 		})
 	}
 }
 
 // Report returns to a router the load of the group that this agent coordinates; the answer is empty
 // if it coordinates none. The router may decide by itself what to send until the next report, which
-// has its quota.
+// contains its allotment.
 func (p *API) Report(w balance.LoadRequest, r *balance.Report) error {
 	p.a.mu.Lock()
 	c := p.a.leading
@@ -90,7 +90,7 @@
 	if g == nil {
 		return nil
 	}
-	*r = c.book.HandleLoadRequest(clock.Now(), w, *g)
+	*r = c.registry.HandleLoadRequest(clock.Now(), w, *g)
 	r.Authority, r.Coordinator = uint64(c.own.Authority), p.a.opts.Self.Address
 	return nil
 }
@@ -108,7 +108,7 @@
 		if m.known && now.Sub(m.lastContact) < 2*directInterval {
 			g.Open = g.Open && m.status.Open
 			g.Ranks = append(g.Ranks, balance.RankLoad{
-				Address: m.info.Engine, DataCentre: m.info.DataCentre, Running: m.status.Running, Waiting: m.status.Waiting, Unstarted: c.book.Unstarted(now, m.info.Engine), Pace: m.status.Pace,
+				Address: m.info.Engine, DataCentre: m.info.DataCentre, Running: m.status.Running, Waiting: m.status.Waiting, Unstarted: c.registry.Unstarted(now, m.info.Engine), Pace: m.status.Pace,
 			})
 		}
 	}
@@ -119,7 +119,7 @@
 // skew returns the skew of the map in use.
 func (c *coordinator) skew() float64 {
 	if c.planner == nil || c.planner.skew == 0 {
-		return balance.FirstSkew
+		return balance.InitialMapSkew
 	}
 	return c.planner.skew
 }
--- a/services/relay/attempt.go
+++ b/services/relay/attempt.go
@@ -81,7 +81,7 @@
 			}
 		} else {
 			x.r.release(x.service, u, res, clock.Since(began), false)
-			x.logAttempt(u, res, err)
+			x.logFailedAttempt(u, res, err)
 			if res == balance.ResultBroken {
 				x.r.probeAfterBreak(ctx, x, u, sent, 0)
 			}
@@ -149,7 +149,7 @@
 		return nil, balance.ResultUnreached, fmt.Errorf("connect to upstream %s: %w", u.ID, err)
 	}
 	if res, err := x.authorize(ctx, u); err != nil {
-		x.r.conns.Give(clock.Now(), conn, unusedIdleTimeout)
+		x.r.conns.Put(clock.Now(), conn, unusedIdleTimeout)
 		return nil, res, err
 	}
 	a := &answer{upstream: u, conn: conn, began: clock.Now()}
@@ -172,6 +172,8 @@
 	return a, balance.ResultOK, nil
 }
 
+// brokenResult returns the result of an attempt whose connection was lost. If ctx has ended, the
+// router closed the connection itself, and the upstream is not at fault.
 func (x *exchange) brokenResult(ctx context.Context) balance.Result {
 	if ctx.Err() != nil {
 		return balance.ResultCancelled
@@ -187,14 +189,16 @@
 	}
 	return &httpconn.Request{
 		Method: x.req.Method, Target: x.req.RequestURI, Host: x.req.Host, Body: x.body,
-		Header: x.r.opts.Protocol.Outgoing(x.req.Header, services.Outgoing{
+		Header: x.r.opts.Protocol.UpstreamHeader(x.req.Header, services.OutgoingMeta{
 			Upstream: u.ID, Account: x.account, Left: clock.Until(x.deadline), LastEvent: last, Urgency: x.urgency,
 		}),
 	}
 }
 
-// receive reads the head of the answer to this request. Answers to other requests that arrive first
-// are dropped.
+// receive reads the head of the answer to this request. It skips answers to other requests that
+// arrive first on the connection, such as a duplicate of the previous answer. An answer that names
+// no request is accepted only if the request did not run or failed: otherwise a caller might get
+// the answer to another request.
 func (x *exchange) receive(a *answer) error {
 	for range maxStaleAnswers + 1 {
 		resp, err := a.conn.Receive(x.req.Method) //nolint:bodyclose // the connection owns the body
@@ -202,7 +206,7 @@
 			return fmt.Errorf("upstream %s: %w", a.upstream.ID, err)
 		}
 		a.resp = resp
-		a.head = x.r.opts.Protocol.Answer(resp.StatusCode, resp.Header)
+		a.head = x.r.opts.Protocol.ParseAnswer(resp.StatusCode, resp.Header)
 		if a.head.ID == x.meta.ID || (a.head.ID == "" && a.head.Execution != services.ExecutionDone) {
 			return nil
 		}
@@ -226,15 +230,15 @@
 		a.drop()
 		return
 	}
-	p.Give(clock.Now(), a.conn, rest)
+	p.Put(clock.Now(), a.conn, rest)
 }
 
 // deliver passes an answer on, or returns false if another upstream should be tried.
 func (x *exchange) deliver(ctx context.Context, a *answer) bool {
 	switch a.head.Execution {
-	case services.ExecutionNone, services.ExecutionStranger:
+	case services.ExecutionNone, services.ExecutionMisdirected:
 		res := balance.ResultFull
-		if a.head.Execution == services.ExecutionStranger {
+		if a.head.Execution == services.ExecutionMisdirected {
 			res = balance.ResultStranger
 		}
 		x.discard(a, res, fmt.Errorf("upstream %s: status %d, not run", a.upstream.ID, a.resp.StatusCode))
@@ -259,7 +263,7 @@
 		a.reuseConn(x.r.conns)
 	}
 	x.r.release(x.service, a.upstream, res, clock.Since(a.began), a.started)
-	x.logAttempt(a.upstream, res, err)
+	x.logFailedAttempt(a.upstream, res, err)
 }
 
 // deliverFailure retries the request elsewhere after a failure if that is allowed, or else passes
@@ -284,7 +288,7 @@
 		return false
 	}
 	x.failure = failure
-	x.logAttempt(a.upstream, balance.ResultError, fmt.Errorf("upstream %s: status %d", a.upstream.ID, a.resp.StatusCode))
+	x.logFailedAttempt(a.upstream, balance.ResultError, fmt.Errorf("upstream %s: status %d", a.upstream.ID, a.resp.StatusCode))
 	return false
 }
 
@@ -318,10 +322,10 @@
 		x.recordBreak(ctx, a, err)
 		return nil, false
 	}
-	x.r.recordRun(clock.Now(), x.key(), quarantine.Finished)
+	x.r.recordRun(clock.Now(), x.key(), quarantine.CompletedRun)
 	a.reuseConn(x.r.conns)
 	x.r.release(x.service, a.upstream, res, clock.Since(a.began), a.started)
-	return &completeAnswer{upstream: a.upstream.ID, status: a.resp.StatusCode, header: x.r.opts.Protocol.Returned(a.resp.Header), body: body}, true
+	return &completeAnswer{upstream: a.upstream.ID, status: a.resp.StatusCode, header: x.r.opts.Protocol.CallerHeader(a.resp.Header), body: body}, true
 }
 
 // write sends a complete answer to the caller.
@@ -345,7 +349,10 @@
 	}
 }
 
-func (x *exchange) logAttempt(u upstream.Instance, res balance.Result, err error) {
+// logFailedAttempt logs an attempt that did not give the caller a complete answer. A cancelled
+// context means that the caller has disconnected: the upstream is not at fault, so the attempt is
+// logged at debug level.
+func (x *exchange) logFailedAttempt(u upstream.Instance, res balance.Result, err error) {
 	event := x.r.opts.Logger.Info()
 	if errors.Is(err, context.Canceled) {
 		event = x.r.opts.Logger.Debug()
--- a/services/relay/crashes.go
+++ b/services/relay/crashes.go
@@ -95,7 +95,7 @@
 // survived.
 func (r *Relay) recordRun(now time.Time, k quarantine.Key, lasted time.Duration) {
 	r.mu.Lock()
-	cleared := r.crashes.Ran(now, k, lasted)
+	cleared := r.crashes.RecordRun(now, k, lasted)
 	r.mu.Unlock()
 	if cleared {
 		r.opts.Logger.Info().Str("account", string(k.Account)).Stringer("digest", k.Digest).Int64("lasted_ms", lasted.Milliseconds()).Msg("request-cleared")
@@ -106,7 +106,7 @@
 // recordAnswer records that a run of an upstream answers: the requests that it ran when its
 // connections broke did not end it.
 func (r *Relay) recordAnswer(now time.Time, a *answer) {
-	if a.head.Execution == services.ExecutionStranger {
+	if a.head.Execution == services.ExecutionMisdirected {
 		return
 	}
 	for _, d := range r.takeSuspects(a.upstream.Run()) {
@@ -189,7 +189,7 @@
 	r.mu.Unlock()
 	cctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
-	err := r.conns.Reach(cctx, now, u.Address)
+	err := r.conns.Preconnect(cctx, now, u.Address)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p.err, p.at = err, clock.Now()
@@ -201,7 +201,7 @@
 func (x *exchange) recordBreak(ctx context.Context, a *answer, err error) {
 	res := x.brokenResult(ctx)
 	x.r.release(x.service, a.upstream, res, clock.Since(a.began), a.started)
-	x.logAttempt(a.upstream, res, err)
+	x.logFailedAttempt(a.upstream, res, err)
 	if res == balance.ResultBroken {
 		x.r.probeAfterBreak(ctx, x, a.upstream, a.began, a.lasted(clock.Now()))
 	}
--- a/services/relay/relay.go
+++ b/services/relay/relay.go
@@ -44,10 +44,12 @@
 	opts  Options
 	conns *httpconn.Pool
 
-	mu      sync.Mutex
-	state   *knowledge.State
-	pools   map[service.ID]*serviceState
+	mu    sync.Mutex
+	state *knowledge.State
+	pools map[service.ID]*serviceState
+	// routers is the number of routers that callers use, this one included.
 	routers int
+	// leaving is when the process was ordered to stop, or zero.
 	leaving time.Time
 	// unreported is called when a request arrives for a service with groups that has ranks without
 	// a reported load.
@@ -65,7 +67,8 @@
 	probes map[upstream.Run]*probe
 	// permits grants permits for upstreams that limit their requests.
 	permits services.PermitGrantor
-	// start distinguishes this relay from earlier ones on the same VM.
+	// start is the start time in nanoseconds. It distinguishes the watermarks of this relay from
+	// those of earlier ones on the same VM, and is never 0, the start of an unset watermark.
 	start uint64
 }
 
@@ -81,7 +84,8 @@
 	coverageAt time.Time
 }
 
-// New returns a relay without a catalog or upstreams.
+// New returns a relay without a catalog or upstreams. Until SetRouters and SetPermits are called,
+// it assumes that it is the only router and grants permits itself.
 func New(o Options) *Relay {
 	r := &Relay{
 		opts: o, conns: httpconn.NewPool(), state: knowledge.New(o.Bounds.DrainTime), pools: map[service.ID]*serviceState{}, routers: 1, unreported: func(service.ID) {},
@@ -93,8 +97,8 @@
 	return r
 }
 
-// Know calls f with the router's state under the relay's lock.
-func (r *Relay) Know(f func(s *knowledge.State)) {
+// WithState calls f with the router's state under the relay's lock.
+func (r *Relay) WithState(f func(s *knowledge.State)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.state)
@@ -114,8 +118,8 @@
 	r.routers = n
 }
 
-// Rebound applies new bounds.
-func (r *Relay) Rebound(now time.Time, b setting.Bounds) {
+// SetBounds applies new bounds.
+func (r *Relay) SetBounds(now time.Time, b setting.Bounds) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.opts.Bounds = b
@@ -125,8 +129,8 @@
 	}
 }
 
-// Leave records when the process was ordered to stop.
-func (r *Relay) Leave(now time.Time) {
+// StartLeaving records when the process was ordered to stop.
+func (r *Relay) StartLeaving(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = now
@@ -184,7 +188,7 @@
 	svc := r.serviceState(now, id)
 	unstarted := svc.pool.Report(now, g, ids)
 	r.wake(now, svc)
-	most, resting := svc.pool.Most(now, ids)
+	most, resting := svc.pool.SendLimits(now, ids)
 	return RouterLoad{
 		Unstarted: unstarted, Wanted: svc.queue.Wanted(now), Waiting: svc.queue.Waiting(), Rate: svc.queue.Rate(now), Idle: len(unstarted) == 0 && svc.queue.Idle(now),
 		Most: most, Resting: resting,
@@ -288,7 +292,7 @@
 	svc.pool.Done(now, u.Run(), res, took, started)
 	r.wake(now, svc)
 	if res == balance.ResultUnreached || res == balance.ResultStranger {
-		r.conns.Drop(u.Address)
+		r.conns.CloseIdle(u.Address)
 	}
 }
 
@@ -298,7 +302,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if previous, known := r.runs[u.Address]; known && previous != u.Run() {
-		r.conns.Drop(u.Address)
+		r.conns.CloseIdle(u.Address)
 	}
 	r.runs[u.Address] = u.Run()
 }
--- a/services/relay/relay_test.go
+++ b/services/relay/relay_test.go
@@ -33,18 +33,18 @@
 	"github.com/rs/zerolog"
 )
 
-// place returns a position in a store that has never been restored from a copy.
-func place(o services.Offset) services.Place { return services.Place{Offset: o} }
+// position returns a position in a store that has never been restored from a copy.
+func position(o services.Offset) services.Position { return services.Position{Offset: o} }
 
 // protocol is a minimal caller protocol for the tests.
 type protocol struct{}
 
-func (protocol) Describe(h http.Header) services.CallerMeta {
+func (protocol) ParseRequest(h http.Header) services.CallerMeta {
 	ms, _ := strconv.Atoi(h.Get("Patience"))
 	return services.CallerMeta{ID: request.ID(h.Get("Id")), Key: catalog.Key(h.Get("Key")), Patience: time.Duration(ms) * time.Millisecond, LastEvent: h.Get("Last")}
 }
 
-func (protocol) Outgoing(h http.Header, o services.Outgoing) http.Header {
+func (protocol) UpstreamHeader(h http.Header, o services.OutgoingMeta) http.Header {
 	out := http.Header{"Id": h["Id"], "To": {string(o.Upstream)}, "Account": {string(o.Account)}}
 	if o.LastEvent != "" {
 		out.Set("Last", o.LastEvent)
@@ -52,7 +52,7 @@
 	return out
 }
 
-func (protocol) Answer(status int, h http.Header) services.UpstreamAnswer {
+func (protocol) ParseAnswer(status int, h http.Header) services.UpstreamAnswer {
 	a := services.UpstreamAnswer{ID: request.ID(h.Get("Id")), Execution: services.ExecutionDone}
 	switch {
 	case h.Get("Not-Run") != "":
@@ -63,9 +63,9 @@
 	return a
 }
 
-func (protocol) Returned(h http.Header) http.Header { return h.Clone() }
+func (protocol) CallerHeader(h http.Header) http.Header { return h.Clone() }
 
-func (protocol) Refusal(_ request.ID, after time.Duration) http.Header {
+func (protocol) RefusalHeader(_ request.ID, after time.Duration) http.Header {
 	if after == 0 {
 		return http.Header{}
 	}
@@ -131,7 +131,7 @@
 
 // catalogs returns a full snapshot of the tests' catalog that was current at a time.
 func catalogs(asOf time.Time) knowledge.Segment[catalog.Catalog] {
-	return knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(1), AsOf: asOf, Changes: []services.Change[catalog.Catalog]{{Value: &testCatalog}}}
+	return knowledge.Segment[catalog.Catalog]{Whole: true, Next: position(1), AsOf: asOf, Changes: []services.Change[catalog.Catalog]{{Value: &testCatalog}}}
 }
 
 // newRelay returns a relay without a catalog or upstreams.
@@ -149,14 +149,14 @@
 	t.Helper()
 	r := newRelay()
 	now := time.Now()
-	r.Know(func(s *knowledge.State) {
+	r.WithState(func(s *knowledge.State) {
 		s.ApplyCatalogs(time.Now(), catalogs(now))
 		var list []services.Change[upstream.Instance]
 		for i, f := range fakes {
 			u := upstream.Instance{ID: upstream.ID(fmt.Sprintf("u%d", i)), Service: "s", Address: f.address, Slots: 4, State: upstream.StateReady}
 			list = append(list, services.Change[upstream.Instance]{Key: string(u.ID), Value: &u})
 		}
-		s.ApplyUpstreams(now, knowledge.Segment[upstream.Instance]{Whole: true, Next: place(1), AsOf: now, Changes: list})
+		s.ApplyUpstreams(now, knowledge.Segment[upstream.Instance]{Whole: true, Next: position(1), AsOf: now, Changes: list})
 	})
 	s := httptest.NewServer(r)
 	t.Cleanup(func() { s.Close(); r.Close() })
@@ -328,13 +328,13 @@
 			s, r := start(t, f)
 			bounds := r.opts.Bounds
 			bounds.KeepKeys = c.keep
-			r.Rebound(time.Now(), bounds)
-			r.Know(func(k *knowledge.State) {
+			r.SetBounds(time.Now(), bounds)
+			r.WithState(func(k *knowledge.State) {
 				*k = *knowledge.New(2 * time.Second)
 				k.ApplyCatalogs(time.Now(), catalogs(time.Now().Add(-c.age)))
 				u := upstream.Instance{ID: "u0", Service: "s", Address: f.address, Slots: 4, State: upstream.StateReady}
 				k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{
-					Whole: true, Next: place(1), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
+					Whole: true, Next: position(1), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
 				})
 			})
 			status, header, _, _ := get(t.Context(), t, s, c.path, map[string]string{"Key": c.key})
@@ -350,12 +350,12 @@
 func TestNoRequestOnConnectionToEarlierRun(t *testing.T) {
 	f := newFake(t, func(_ int, h map[string]string, conn net.Conn) { writeAnswer(conn, h["Id"], "ok") })
 	s, r := start(t, f)
-	r.Know(func(k *knowledge.State) { k.ApplyCatalogs(time.Now(), catalogs(time.Now())) })
+	r.WithState(func(k *knowledge.State) { k.ApplyCatalogs(time.Now(), catalogs(time.Now())) })
 	for i, born := range []upstream.Born{0, 0, 200} {
-		r.Know(func(k *knowledge.State) {
+		r.WithState(func(k *knowledge.State) {
 			u := upstream.Instance{ID: "u0", Born: born, Service: "s", Address: f.address, Slots: 4, State: upstream.StateReady}
 			k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{
-				Whole: true, Next: place(services.Offset(i) + 2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
+				Whole: true, Next: position(services.Offset(i) + 2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
 			})
 		})
 		if status, _, _, err := get(t.Context(), t, s, "/unsafe/x", map[string]string{"Key": "k"}); err != nil || status != 200 {
@@ -397,10 +397,10 @@
 func TestLeavingUpstream(t *testing.T) {
 	f := newFake(t, func(_ int, h map[string]string, c net.Conn) { writeAnswer(c, h["Id"], "ok") })
 	s, r := start(t, f)
-	r.Know(func(k *knowledge.State) {
+	r.WithState(func(k *knowledge.State) {
 		u := upstream.Instance{ID: "u0", Service: "s", Address: f.address, Slots: 4, State: upstream.StateLeaving}
 		k.ApplyUpstreams(time.Now(), knowledge.Segment[upstream.Instance]{
-			From: place(1), Next: place(2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
+			From: position(1), Next: position(2), AsOf: time.Now(), Changes: []services.Change[upstream.Instance]{{Key: "u0", Value: &u}},
 		})
 	})
 	_, err := r.judgeSend(time.Now(), &exchange{r: r, service: "s"}, upstream.Instance{ID: "u0"})
@@ -417,7 +417,7 @@
 func TestStopRequested(t *testing.T) {
 	f := newFake(t, func(_ int, h map[string]string, c net.Conn) { writeAnswer(c, h["Id"], "ok") })
 	s, r := start(t, f)
-	r.Leave(time.Now().Add(-streamGrace - time.Second))
+	r.StartLeaving(time.Now().Add(-streamGrace - time.Second))
 	if status, _, body, _ := get(t.Context(), t, s, "/safe/x", nil); status != 200 || body != "ok" {
 		t.Errorf("status %d, body %q", status, body)
 	}
@@ -449,8 +449,8 @@
 	c := testCatalog
 	c.Version, c.Services = 4, []catalog.Service{{ID: "s", Engine: &catalog.Engine{Slots: 4}}}
 	var addresses []string
-	r.Know(func(s *knowledge.State) {
-		s.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: place(2), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
+	r.WithState(func(s *knowledge.State) {
+		s.ApplyCatalogs(time.Now(), knowledge.Segment[catalog.Catalog]{Whole: true, Next: position(2), AsOf: now, Changes: []services.Change[catalog.Catalog]{{Value: &c}}})
 		for _, u := range s.Usable(now, "s") {
 			addresses = append(addresses, u.Address)
 		}
--- a/tests/integration/platform_feeds_test.go
+++ b/tests/integration/platform_feeds_test.go
@@ -49,9 +49,9 @@
 	return routers
 }
 
-// TestReaderLost freezes or kills the router that reads the configuration for all. The others must
+// TestReaderFails freezes or kills the router that reads the configuration for all. The others must
 // still have a change in force.
-func TestReaderLost(t *testing.T) {
+func TestReaderFails(t *testing.T) {
 	cases := map[string]struct {
 		fail, resume func(n *node)
 	}{
@@ -61,7 +61,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			s, routers := threeRouters(t)
-			reader := watch.Reader(catalogFeed, []string{"a", "b", "c"})
+			reader := watch.ReaderOf(catalogFeed, []string{"a", "b", "c"})
 			c.fail(routers[reader])
 			began := time.Now()
 			s.store.Put(operatorStream, "config", operatorConfig(5, "new"))
@@ -99,11 +99,11 @@
 	}
 }
 
-// TestReadersOut makes the store unavailable for a while. Routers must accept only keys that they
+// TestStoreOutage makes the store unavailable for a while. Routers must accept only keys that they
 // can verify as current, and must have a change in force soon after the outage.
-func TestReadersOut(t *testing.T) {
+func TestStoreOutage(t *testing.T) {
 	s, routers := threeRouters(t)
-	s.store.Trouble(metastore.TroubleBusy)
+	s.store.SetFault(metastore.FaultBusy)
 	for name, n := range routers {
 		eventually(t, "refused keys at "+name, func() bool {
 			status, _, header := post(t.Context(), t, n.front, "/view/x", "k")
@@ -111,7 +111,7 @@
 		})
 	}
 	s.store.Put(operatorStream, "config", operatorConfig(5, "new"))
-	s.store.Trouble(metastore.TroubleNone)
+	s.store.SetFault(metastore.FaultNone)
 	for name, n := range routers {
 		eventually(t, "the new key at "+name, func() bool { status, _, _ := post(t.Context(), t, n.front, "/view/x", "new"); return status == 200 })
 	}
