--- a/contrib/compare/pairs.go
+++ b/contrib/compare/pairs.go
@@ -43,6 +43,8 @@
 
 // The outcomes.
 const (
+	// outcomeBreaksRules marks an unacceptable variant: one of its plays broke a rule or gave no
+	// result.
 	outcomeBreaksRules  outcome = "breaks rules"
 	outcomeHarm         outcome = "does harm"
 	outcomeBetter       outcome = "better"
@@ -124,8 +126,9 @@
 	return s.Pairs > 1 && math.Abs(s.Mean) > minStandardErrors*s.Spread/math.Sqrt(float64(s.Pairs))
 }
 
-// outcome returns the conclusion for a variant. A variant that does harm at any site counts as
-// harmful, even if its mean over all sites is better.
+// outcome returns the conclusion for a variant. A single compared play that broke a rule or gave no
+// result makes the variant unacceptable. A variant that does harm at any site counts as harmful,
+// even if its mean over all sites is better.
 func (c *comparison) outcome() outcome {
 	if c.All.Broken > 0 || c.All.Failed > 0 {
 		return outcomeBreaksRules
--- a/services/agent/links.go
+++ b/services/agent/links.go
@@ -24,7 +24,8 @@
 	at      time.Time
 	echo    uint64
 	pulling bool
-	busy    bool
+	// busy reports whether a heartbeat to the router is in flight.
+	busy bool
 	// leaving reports whether the router is leaving.
 	leaving bool
 	// failingSince is the time since which calls have failed, or zero; lastTried is the time of
@@ -49,7 +50,8 @@
 
 	mu      sync.Mutex
 	routers map[string]*link
-	first   time.Time
+	// first is the time of the first reply of any router; zero before.
+	first time.Time
 	// seq numbers the rounds of heartbeats.
 	seq uint64
 }
--- a/services/balance/pace.go
+++ b/services/balance/pace.go
@@ -63,12 +63,12 @@
 }
 
 const (
-	// passFraction is the fraction of the gap target that the forecast duration of a pass may use.
+	// passFraction is the fraction of the pause goal that the forecast duration of a pass may use.
 	passFraction = 0.92
-	// readFraction is the fraction of the gap target that a rank may spend on reading prompts, if
+	// readFraction is the fraction of the pause goal that a rank may spend on reading prompts, if
 	// the active streams leave that much. With a larger value a newly formed group on its first map
-	// starts with passes of twice the target, and a group whose demand has shifted has a pass above
-	// the target when all waiting requests are admitted at once.
+	// starts with passes of twice the goal, and a group whose demand has shifted has a pass above
+	// the goal when all waiting requests are admitted at once.
 	readFraction = 0.4
 	// minAssumedSkew is the smallest skew used for limits: demand may shift at any time, and the
 	// map follows some passes later.
@@ -101,21 +101,21 @@
 // on which skews of 2.2 to 3.6 were observed; a shift of demand causes about the same.
 const InitialMapSkew = 3.0
 
-// GroupBounds returns how many requests the ranks of a group may have so that passes meet the gap
-// target; 0 means no target. If a few streams already miss the target, ranks may fill all their
-// slots.
-func GroupBounds(e *catalog.Engine, l GroupLoad, goal time.Duration) Bounds {
+// GroupBounds returns how many requests the ranks of a group may have so that passes meet the pause
+// goal; a goal of 0 means none. If fewer than minStreams streams per rank meet the goal, the bounds
+// are those without a goal. If Slots-1 or more meet it, only Unstarted differs from them.
+func GroupBounds(e *catalog.Engine, l GroupLoad, pauseGoal time.Duration) Bounds {
 	// One request more than there are slots may wait at a rank for the next free slot.
 	all := Bounds{Rank: e.Slots + 1, Mean: e.Slots + 1}
-	if goal <= 0 {
+	if pauseGoal <= 0 {
 		return all
 	}
-	within := time.Duration(passFraction * float64(goal))
+	within := time.Duration(passFraction * float64(pauseGoal))
 	mean := Limit(e, max(l.Skew, minAssumedSkew), l.Pace, within)
 	if mean < minStreams {
 		return all
 	}
-	all.Unstarted = promptsAtOnce(e, l, min(time.Duration(readFraction*float64(goal)), within-l.pass(e, 0)))
+	all.Unstarted = promptsAtOnce(e, l, min(time.Duration(readFraction*float64(pauseGoal)), within-l.pass(e, 0)))
 	if mean >= e.Slots-1 {
 		return all
 	}
@@ -146,5 +146,6 @@
 	return max(1, int(within/each))
 }
 
-// minStreams is the smallest number of streams per rank for which the gap target is enforced.
+// minStreams is the smallest number of streams per rank for which the pause goal is enforced. If
+// only fewer streams meet the goal, ranks may fill all their slots.
 const minStreams = 3
--- a/services/configlog/core.go
+++ b/services/configlog/core.go
@@ -162,8 +162,8 @@
 	return events
 }
 
-// alignToLog aligns the core with the range of offsets that the log retains. It drops the anchor
-// when records were trimmed before they were read or when the log restarted.
+// alignToLog aligns the core with the range of offsets that the log retains. The judged state no
+// longer counts as exact when records were trimmed before they were read or when the log restarted.
 func (c *Core) alignToLog(p services.Page) []Event {
 	first := !c.started
 	if first {
@@ -239,9 +239,9 @@
 	return []Event{{Kind: EventAccepted, Offset: r.Offset, Revision: rec.Revision, ID: rec.ID}}
 }
 
-// handleUndecodable skips corrupt records but drops the anchor at a record of a later format. A
-// newer process may accept that record, so this one must learn the result from a checkpoint or a
-// peer.
+// handleUndecodable skips corrupt records, but after a record of a later format the judged state no
+// longer counts as exact. A newer process may accept that record, so this one must learn the result
+// from a checkpoint or a peer.
 func (c *Core) handleUndecodable(r services.LogRecord, err error) []Event {
 	var bad intent.ErrBadRecord
 	if errors.As(err, &bad) && bad.Later {
--- a/services/directory/directory.go
+++ b/services/directory/directory.go
@@ -329,7 +329,7 @@
 
 // Ready reports whether this router may serve callers: it has the configuration and, for each
 // service with upstreams, one that accepts work. A router that has run for longer than
-// Interval.Suspect serves also without such an upstream, because then none is alive.
+// Interval.SuspectAfter serves also without such an upstream, because then none is alive.
 func (d *Directory) Ready(now time.Time) bool {
 	d.mu.Lock()
 	others := len(d.routers.Live(now)) - 1
--- a/services/placement/decide.go
+++ b/services/placement/decide.go
@@ -62,7 +62,7 @@
 	}
 	d := decision{pol: pol, layers: layers, loads: make([]int, len(speed))}
 	for _, l := range layers {
-		l.maxFresh, l.maxRank, l.loads = pol.MaxFresh, pol.MaxRank, d.loads
+		l.maxFresh, l.maxRank, l.totalGained = pol.MaxFresh, pol.MaxRank, d.loads
 	}
 	res := Result{Before: meanSkew(layers)}
 	res.Moves = d.improve(floors)
--- a/services/placement/layer.go
+++ b/services/placement/layer.go
@@ -61,17 +61,19 @@
 	replicaLoads, extraLoads []float64
 	// inverseSpeed holds 1/speed.
 	inverseSpeed []float64
-	load         []float64
-	mean         float64
+	// load holds the load of each rank: the loads of its replicas, divided by its speed. mean is the
+	// mean of load, weighted by speed.
+	load []float64
+	mean float64
 	// initial is the set of ranks that held each expert at the start; gained counts the experts
 	// that each rank has gained since. maxFresh bounds gained; 0 means no limit.
 	initial  rankSets
 	gained   []int
 	maxFresh int
-	// loads counts the experts that each rank gains in all layers by changes already applied, and
-	// applied the part of them in this layer. A rank gains at most maxRank; 0 means no limit.
-	loads, applied []int
-	maxRank        int
+	// totalGained counts the experts that each rank gains in all layers by changes already applied,
+	// and applied the part of them in this layer. A rank gains at most maxRank; 0 means no limit.
+	totalGained, applied []int
+	maxRank              int
 }
 
 // ErrShape reports an input with mismatched sizes.
@@ -100,7 +102,7 @@
 		l.changeReplicas(expertmap.Expert(e), 0)
 	}
 	l.initial, l.gained, l.applied = l.holders.clone(), make([]int, len(slots)), make([]int, len(slots))
-	l.recomputeLoads()
+	l.computeLoad()
 	var total, speeds float64
 	for r := range slots {
 		total += l.load[r] * speed[r]
@@ -160,7 +162,7 @@
 	if l.maxFresh != 0 && l.gained[r] >= l.maxFresh {
 		return false
 	}
-	return l.maxRank == 0 || l.loads[r]+l.gained[r]-l.applied[r] < l.maxRank
+	return l.maxRank == 0 || l.totalGained[r]+l.gained[r]-l.applied[r] < l.maxRank
 }
 
 // add records that a rank now holds an expert.
@@ -187,8 +189,9 @@
 	return l.replicaLoads[e]
 }
 
-// recomputeLoads recomputes the loads so that rounding errors do not accumulate.
-func (l *layer) recomputeLoads() {
+// computeLoad sets the load of each rank to the sum of the loads of its replicas, divided by its
+// speed. It sums all of them each time so that rounding errors do not accumulate.
+func (l *layer) computeLoad() {
 	for r, held := range l.slots {
 		l.load[r] = 0
 		for _, e := range held {
--- a/services/placement/move.go
+++ b/services/placement/move.go
@@ -125,5 +125,5 @@
 			l.changeReplicas(m.out, -1)
 		}
 	}
-	l.recomputeLoads()
+	l.computeLoad()
 }
--- a/services/quarantine/register.go
+++ b/services/quarantine/register.go
@@ -172,29 +172,30 @@
 	return Verdict{Standing: StandingRefused, Until: until}
 }
 
-// weight returns how strongly the uncleared crashes incriminate a request: 1 for each crash of an
-// attempt that was sent after the crash before. Crashes of attempts that ran concurrently count as
-// one, because a rack that loses power ends many upstreams whatever runs there. They count as two
-// if all upstreams that ended then ran the request.
+// weight returns how strongly the uncleared crashes incriminate a request. It divides them into
+// batches in order of time: a batch consists of a crash and those directly after it whose attempts
+// were sent before that first crash. A batch counts as one, because a rack that loses power ends
+// many upstreams whatever runs there. A batch of several crashes counts as two if all upstreams that
+// crashed at about that time ran the request, see ranOnAll.
 func (r *Register) weight(rec *record) int {
-	var ends []*crash
+	var crashes []*crash
 	for _, c := range rec.crashes {
 		if !c.cleared {
-			ends = append(ends, c)
+			crashes = append(crashes, c)
 		}
 	}
-	slices.SortFunc(ends, func(a, b *crash) int { return a.at.Compare(b.at) })
+	slices.SortFunc(crashes, func(a, b *crash) int { return a.at.Compare(b.at) })
 	weight := 0
-	for len(ends) > 0 {
+	for len(crashes) > 0 {
 		n := 1
-		for n < len(ends) && ends[n].sent.Before(ends[0].at) {
+		for n < len(crashes) && crashes[n].sent.Before(crashes[0].at) {
 			n++
 		}
 		weight++
-		if n > 1 && r.ranOnAll(rec, ends[0].at, ends[n-1].at) {
+		if n > 1 && r.ranOnAll(rec, crashes[0].at, crashes[n-1].at) {
 			weight++
 		}
-		ends = ends[n:]
+		crashes = crashes[n:]
 	}
 	return weight
 }
--- a/services/routing/pick.go
+++ b/services/routing/pick.go
@@ -55,8 +55,8 @@
 	ranks []Candidate
 	// maxWork is the work of the rank of the group that has the most.
 	maxWork float64
-	// progress is the latest time at which one of this router's streams received a token, or zero
-	// if there are no streams.
+	// progress is the latest time at which one of this router's streams received a token, or at
+	// which the first stream of a rank was sent; zero if there are no streams.
 	progress time.Time
 	// lead is the track of the group's first candidate. It holds the ejection state of the group.
 	lead *track
--- a/standin/upstream/engine.go
+++ b/standin/upstream/engine.go
@@ -169,7 +169,7 @@
 	priority, _ := strconv.Atoi(r.Header.Get("Priority"))
 	return &sequence{
 		ctx: r.Context(), prefill: 1 + (len(prompt)-cached)/charsPerToken/tokensPerStep,
-		next: c.ResumeFrom, last: c.MaxTokens, priority: priority,
+		next: c.ResumeFrom, end: c.MaxTokens, priority: priority,
 		tokens: make(chan int, c.MaxTokens-c.ResumeFrom),
 	}
 }
--- a/standin/upstream/group.go
+++ b/standin/upstream/group.go
@@ -50,10 +50,12 @@
 
 // sequence is one running or waiting request.
 type sequence struct {
-	ctx      context.Context
-	prefill  int
+	ctx context.Context
+	// prefill is the number of prefill steps that remain.
+	prefill int
+	// next is the index of the next token, and end the exclusive bound of the indexes.
 	next     int
-	last     int
+	end      int
 	priority int
 	tokens   chan int
 }
--- a/standin/upstream/group_step.go
+++ b/standin/upstream/group_step.go
@@ -178,7 +178,7 @@
 	}
 	s.tokens <- s.next
 	s.next++
-	if s.next < s.last {
+	if s.next < s.end {
 		return true
 	}
 	close(s.tokens)
