--- a/services/agent/links.go
+++ b/services/agent/links.go
@@ -254,7 +254,7 @@
 }
 
 // recentReplies returns the latest replies of the routers that have answered within
-// Interval.Suspect. The caller holds the lock.
+// Interval.SuspectAfter. The caller holds the lock.
 func (l *links) recentReplies(now time.Time) []membership.Reply {
 	var out []membership.Reply
 	for _, k := range l.routers {
--- a/services/quarantine/quarantine.go
+++ b/services/quarantine/quarantine.go
@@ -9,7 +9,7 @@
 // id. Two things clear a request: a run of the same content that an upstream answered completely,
 // and a run that lasted longer than those during which upstreams ended. A request that crashes
 // every upstream that runs it has neither. Routers exchange their crash records, see
-// Register.Since.
+// Register.ChangedSince.
 package quarantine
 
 import (
