--- a/services/once/settle_test.go
+++ b/services/once/settle_test.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"fawnwinch.org/fawnwinch/models/request"
-	"fawnwinch.org/fawnwinch/services"
 )
 
 // TestSettleIdleKey checks that a key that the next owner has run without the journal does not run
@@ -16,25 +15,21 @@
 func TestSettleIdleKey(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cfg := Config{Lifetime: time.Hour, Capacity: 100, AnswerBytes: 1000, OutageAfter: 5 * time.Second}
-	first, second := NewCore(cfg, Owner{Upstream: "a", Incarnation: "1"}), NewCore(cfg, Owner{Upstream: "b", Incarnation: "1"})
-	var records []services.LogRecord
+	first, second := NewCore(cfg, testOwner("a")), NewCore(cfg, testOwner("b"))
+	journal := &trimmedLog{}
+	read := func() {
+		journal.read(first, now)
+		journal.read(second, now)
+	}
 	add := func(r *Record) {
 		t.Helper()
-		raw, err := r.Encode()
-		if err != nil {
-			t.Fatal(err)
-		}
-		records = append(records, services.LogRecord{Offset: services.Offset(len(records)), At: now, Data: raw})
-		for _, c := range []*Core{first, second} {
-			c.Apply(now, services.Page{Tail: services.Offset(len(records)), Now: now, Records: records})
-		}
+		journal.append(t, now, r)
+		read()
 	}
 	attempt := func(token Token, epoch Epoch) Attempt {
 		return Attempt{Token: token, Request: "r", Key: "k", Epoch: epoch, Deadline: now.Add(time.Minute), RouterLogAge: time.Minute}
 	}
-	for _, c := range []*Core{first, second} {
-		c.Apply(now, services.Page{Now: now})
-	}
+	read()
 
 	// The first owner claims the key, but its caller disconnects before the key runs.
 	add(first.TakeRecord([]request.KeySlice{0}))
